--- a/test/reload-settings.test.ts
+++ b/test/reload-settings.test.ts
@@ -15,9 +15,9 @@
 import {
 	findFreePorts, GatewayFleet, send, waitUntil,
 } from './helpers/gateways.js';
-import {LogMemory} from './helpers/logs.js';
-import {ownHost} from './helpers/own-host.js';
-import {answerWhole, decline} from './helpers/platform-standins.js';
+import {LogCapture} from './helpers/logs.js';
+import {processHost} from './helpers/process-host.js';
+import {createTextAnswer, decline} from './helpers/platform-standins.js';
 
 /** For tests that bundle the program and run it as a process, in milliseconds. */
 const processLimit = 30_000;
@@ -125,7 +125,7 @@
 });
 
 test('a running node states the new lifetime of addresses', async () => {
-	await fleet.start({runners: [{service: 'app', behaviour: answerWhole('yes')}]});
+	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	const ask = async () => {
 		const {body} = await send(fleet.settings[0].listen.addresses, {path: '/v1/resolve?name=shop.example&region=r&zone=north', method: 'GET'});
 		return body;
@@ -150,7 +150,7 @@
 });
 
 test('a running node stops within the new grace', async () => {
-	const log = new LogMemory();
+	const log = new LogCapture();
 	fleet.loggers.push(createLogger('info', log));
 	await fleet.start({
 		runners: [{
@@ -161,41 +161,41 @@
 		}],
 	});
 	const held = fleet.call({path: '/once/'});
-	await waitUntil(() => log.listLines('placed').length === 1);
+	await waitUntil(() => log.listEvents('placed').length === 1);
 	fleet.gateways[0].changeSettings({...fleet.settings[0], stop: {grace_seconds: 0.5}});
 	await fleet.gateways[0].stop();
-	const [stopped] = log.listLines('stopped');
+	const [stopped] = log.listEvents('stopped');
 	expect(stopped.took).toBeGreaterThan(400);
 	expect(stopped.took).toBeLessThan(1000);
 	await held;
 });
 
 test('a running node allows no more retries than the new budget', async () => {
-	const log = new LogMemory();
+	const log = new LogCapture();
 	fleet.loggers.push(createLogger('info', log));
 	await fleet.start({runners: [{service: 'app', behaviour: decline}, {service: 'app', behaviour: decline}]});
 	await fleet.call({path: '/again/'});
-	const before = log.listLines('retry').length;
+	const before = log.listEvents('retry').length;
 	expect(before).toBeGreaterThan(0);
 	fleet.gateways[0].changeSettings({...fleet.settings[0], retry: {ratio: 0, slack: 0, window_seconds: 10}});
 	await fleet.call({path: '/again/'});
-	expect(log.listLines('retry')).toHaveLength(before);
-	expect(log.listLines('retry_refused')).toHaveLength(1);
+	expect(log.listEvents('retry')).toHaveLength(before);
+	expect(log.listEvents('retry_refused')).toHaveLength(1);
 	const {services} = await readStatus();
 	expect(services.find(({service}) => service === 'app')?.retries?.left).toBe(0);
 });
 
 test('a running node writes at the new level', async () => {
-	const log = new LogMemory();
+	const log = new LogCapture();
 	const logger = createLogger('info', log);
 	fleet.loggers.push(logger);
-	await fleet.start({runners: [{service: 'app', behaviour: answerWhole('yes')}]});
+	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	fleet.gateways[0].changeSettings({...fleet.settings[0], log: {level: 'error'}});
 	await fleet.call({path: '/once/'});
-	expect(log.listLines('call_ended')).toEqual([]);
+	expect(log.listEvents('call_ended')).toEqual([]);
 	fleet.gateways[0].changeSettings({...fleet.settings[0], log: {level: 'info'}});
 	await fleet.call({path: '/once/'});
-	expect(log.listLines('call_ended')).toHaveLength(1);
+	expect(log.listEvents('call_ended')).toHaveLength(1);
 });
 
 test('a running node finds the nodes of new seeds, also while the store is silent', async () => {
@@ -217,7 +217,7 @@
 async function createReloader(level = 'info') {
 	const path = join(folder, 'node.toml');
 	await writeFile(path, text);
-	const log = new LogMemory();
+	const log = new LogCapture();
 	const logger = createLogger(level, log);
 	const state = {inForce: parse(text)};
 	const reloader = new SettingsReloader({
@@ -241,7 +241,7 @@
 	await writeFile(path, text.replace('slack = 20', 'slack = 5').replace('7003', '7103'));
 	await reloader.reload('signal');
 	await reloader.reload('signal');
-	expect(log.listLines('reloaded').map(({taken, waiting, msg}) => [taken, waiting, msg])).toEqual([
+	expect(log.listEvents('reloaded').map(({taken, waiting, msg}) => [taken, waiting, msg])).toEqual([
 		[[], [], 'the settings file says what is in force'],
 		[['retry.slack'], ['listen.callers'], 'a part of the changed settings is in force; the rest takes effect at the next start'],
 		[[], ['listen.callers'], 'the changed settings take effect at the next start; start the node again'],
@@ -253,12 +253,12 @@
 	await writeFile(path, text.replace('slack = 20', 'slack = "many"'));
 	await reloader.reload('signal');
 	expect(state.inForce).toEqual(parse(text));
-	expect(log.listLines('reloaded')).toEqual([]);
-	const [{problems}] = log.listLines('reload_refused');
+	expect(log.listEvents('reloaded')).toEqual([]);
+	const [{problems}] = log.listEvents('reload_refused');
 	expect(problems).toEqual([expect.stringMatching(/^retry\.slack = "many": /)]);
 	await rm(path);
 	await reloader.reload('signal');
-	expect(log.listLines('reload_refused')[1].problems).toEqual([expect.stringContaining('give the path of a file that can be read')]);
+	expect(log.listEvents('reload_refused')[1].problems).toEqual([expect.stringContaining('give the path of a file that can be read')]);
 });
 
 test('a reload that makes the log quieter is told before, one that makes it louder after', async () => {
@@ -267,7 +267,7 @@
 	await reloader.reload('signal');
 	await writeFile(path, text);
 	await reloader.reload('signal');
-	expect(log.listLines('reloaded').map(({taken}) => taken)).toEqual([['log.level'], ['log.level']]);
+	expect(log.listEvents('reloaded').map(({taken}) => taken)).toEqual([['log.level'], ['log.level']]);
 });
 
 test('a changed file is taken over without a signal, once; one that is gone for a while changes nothing', async () => {
@@ -281,8 +281,8 @@
 	await pass(lookTime * 2);
 	stopping.abort();
 	await watching;
-	expect(log.listLines('reloaded').map(({cause, taken}) => [cause, taken])).toEqual([['file', ['retry.slack']]]);
-	expect(log.listLines('reload_refused')).toEqual([]);
+	expect(log.listEvents('reloaded').map(({cause, taken}) => [cause, taken])).toEqual([['file', ['retry.slack']]]);
+	expect(log.listEvents('reload_refused')).toEqual([]);
 }, processLimit);
 
 test('a change that a signal told of is not told again by the file', async () => {
@@ -295,13 +295,13 @@
 	await pass(lookTime * 2);
 	stopping.abort();
 	await watching;
-	expect(log.listLines('reloaded').map(({cause}) => cause)).toEqual(['signal']);
+	expect(log.listEvents('reloaded').map(({cause}) => cause)).toEqual(['signal']);
 }, processLimit);
 
 test('SIGHUP makes a process of the program take its file over and go on', async () => {
 	await fleet.store.start();
 	const [callers, ready, addresses, peers, heartbeat, metrics] = await findFreePorts(6);
-	let settings = text.replace('7007', fleet.store.address.split(':')[1]).replaceAll('127.0.0.1', ownHost);
+	let settings = text.replace('7007', fleet.store.address.split(':')[1]).replaceAll('127.0.0.1', processHost);
 	for (const [before, after] of [['7001', heartbeat], ['7002', metrics], ['7003', callers], ['7004', ready], ['7005', addresses], ['7006', peers]]) {
 		settings = settings.replace(String(before), String(after));
 	}
@@ -310,15 +310,15 @@
 	const bundle = join(folder, 'gateway.cjs');
 	await writeFile(path, settings);
 	execFileSync('node_modules/.bin/esbuild', ['src/gateway-main.ts', '--bundle', '--platform=node', '--target=node20', '--format=cjs', `--outfile=${bundle}`, '--log-level=error']);
-	const log = new LogMemory();
+	const log = new LogCapture();
 	program = spawn(process.execPath, [bundle, 'gateway', '--settings', path], {stdio: ['ignore', 'pipe', 'inherit']});
 	program.stdout!.pipe(log);
-	await waitUntil(() => log.listLines('started').length === 1);
+	await waitUntil(() => log.listEvents('started').length === 1);
 	await writeFile(path, settings.replace('slack = 20', 'slack = 5').replace('"north"', '"south"'));
 	program.kill('SIGHUP');
-	await waitUntil(() => log.listLines('reloaded').length === 1);
-	expect(log.listLines('reloaded')[0]).toMatchObject({cause: 'signal', taken: ['retry.slack'], waiting: ['availability_zone']});
-	const status = await send(`${ownHost}:${metrics}`, {path: '/status', method: 'GET'});
+	await waitUntil(() => log.listEvents('reloaded').length === 1);
+	expect(log.listEvents('reloaded')[0]).toMatchObject({cause: 'signal', taken: ['retry.slack'], waiting: ['availability_zone']});
+	const status = await send(`${processHost}:${metrics}`, {path: '/status', method: 'GET'});
 	expect(status.status).toBe(200);
 	expect(program.exitCode).toBeNull();
 }, processLimit);
--- a/test/report.test.ts
+++ b/test/report.test.ts
@@ -11,8 +11,8 @@
 import {divideEvenly} from '../src/logs/page/scale.js';
 import {runCommand} from './helpers/commands.js';
 import {GatewayFleet, waitUntil} from './helpers/gateways.js';
-import {LogMemory} from './helpers/logs.js';
-import {answerWhole, decline, streamEvents} from './helpers/platform-standins.js';
+import {LogCapture} from './helpers/logs.js';
+import {createTextAnswer, decline, streamEvents} from './helpers/platform-standins.js';
 
 let folder: string;
 
@@ -61,14 +61,14 @@
 
 test('a page on the logs of real nodes has every part, works offline in one file, and is well formed', async () => {
 	const fleet = new GatewayFleet();
-	const log = new LogMemory();
+	const log = new LogCapture();
 	fleet.loggers.push(createLogger('debug', log));
 	try {
 		await fleet.start({runners: [{service: 'model', behaviour: streamEvents(2)}, {service: 'app', behaviour: decline}]});
 		await Promise.all([1000, 5000, 9000].map(async tokens => fleet.call({path: '/stream/', headers: {'cresshook-token-usage': `${tokens},80`}})));
 		await fleet.call({path: '/once/'});
 		await fleet.call({path: '/nowhere/'});
-		await waitUntil(() => log.listLines('call_ended').length + log.listLines('call_refused').length === 5);
+		await waitUntil(() => log.listEvents('call_ended').length + log.listEvents('call_refused').length === 5);
 	} finally {
 		await fleet.stop();
 	}
@@ -206,12 +206,12 @@
 
 test('a plain service\'s whole answers alone make a page too', async () => {
 	const fleet = new GatewayFleet();
-	const log = new LogMemory();
+	const log = new LogCapture();
 	fleet.loggers.push(createLogger('info', log));
 	try {
-		await fleet.start({runners: [{service: 'app', behaviour: answerWhole('yes')}]});
+		await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 		await fleet.call({path: '/once/'});
-		await waitUntil(() => log.listLines('call_ended').length === 1);
+		await waitUntil(() => log.listEvents('call_ended').length === 1);
 	} finally {
 		await fleet.stop();
 	}
--- a/test/retry-budget.test.ts
+++ b/test/retry-budget.test.ts
@@ -2,7 +2,7 @@
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
 import {GatewayFleet, waitUntil} from './helpers/gateways.js';
-import {answerWhole} from './helpers/platform-standins.js';
+import {createTextAnswer} from './helpers/platform-standins.js';
 
 /** Budget of the test's fleet: retries allowed beside one in five requests. */
 const slack = 20;
@@ -36,13 +36,13 @@
 // nothing and was alone. On a fleet of which all nodes start again twice within a window, with every call failing,
 // the nodes spend the budget's parts anew each time.
 test('nodes that start again do not spend the budget of retries once more', async () => {
-	const failing = answerWhole('broken', 500);
+	const failing = createTextAnswer('broken', 500);
 	await fleet.start({nodes: 0, runners: [1, 2].map(() => ({service: 'app', behaviour: failing}))});
 	for (let life = 0; life < 3; life++) {
 		await failCalls(40);
 	}
 
-	const arrivals = fleet.runners.reduce((sum, runner) => sum + runner.seen.length, 0);
+	const arrivals = fleet.runners.reduce((sum, runner) => sum + runner.receivedRequests.length, 0);
 	const calls = 3 * 40;
 	expect(arrivals).toBeGreaterThan(calls);
 	expect(arrivals - calls).toBeLessThanOrEqual(slack + (ratio * calls));
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -4,7 +4,7 @@
 	createSilentLogger, VirtualClock, type AvailabilityZone, type BackendServerId, type BackendServerName, type OrganisationId, type ServiceName,
 } from '../src/common/index.js';
 import {
-	chooseService, computeConfigChanges, FleetState, returnGrace, RouteTable, type BackendServer, type Route, type RoutingConfig,
+	chooseService, computeConfigChanges, FleetState, reregistrationGrace, RouteTable, type BackendServer, type Route, type RoutingConfig,
 } from '../src/routing/index.js';
 
 function createRoute(pathPrefix: string, changes: Partial<Route> = {}): Route {
@@ -111,7 +111,7 @@
 	expect(listIds(state)).toEqual(['i-2']);
 	state.applyServerChanges([{name: 'i-1', item: createServer('i-1')}], 5, 'source');
 	expect(listIds(state)).toEqual(['i-2']);
-	expect(state.findServer('i-1' as BackendServerId)).toBeUndefined();
+	expect(state.findUsableServer('i-1' as BackendServerId)).toBeUndefined();
 });
 
 test('a server whose entry goes in calm times is gone at once', () => {
@@ -124,13 +124,13 @@
 test('a server that lapsed in an outage stays until servers had time to register again', () => {
 	const {state, clock} = createState();
 	state.applyServerList({items: [createServer('i-1'), createServer('i-2')], revision: 3}, 'source');
-	state.noteOutage('servers');
+	state.recordOutage('servers');
 	clock.advance(5000);
-	state.noteReturn('servers');
+	state.recordRecovery('servers');
 	state.applyServerList({items: [], revision: 9}, 'source');
 	expect(listIds(state)).toEqual(['i-1', 'i-2']);
 	state.applyServerChanges([{name: 'i-1', item: createServer('i-1')}], 10, 'source');
-	clock.advance(returnGrace + 1);
+	clock.advance(reregistrationGrace + 1);
 	expect(listIds(state)).toEqual(['i-1']);
 });
 
@@ -157,12 +157,12 @@
 	const {state, clock} = createState();
 	const other = createState();
 	other.state.applyServerList({items: [createServer('i-1')], revision: 3}, 'source');
-	other.state.noteOutage('servers');
-	other.state.noteReturn('servers');
+	other.state.recordOutage('servers');
+	other.state.recordRecovery('servers');
 	other.state.applyServerList({items: [], revision: 9}, 'source');
-	state.applyServers(other.state.takeServers(0)!, 'node');
+	state.applyServers(other.state.getServersSnapshot(0)!, 'node');
 	expect(listIds(state)).toEqual(['i-1']);
-	clock.advance(returnGrace + 1);
+	clock.advance(reregistrationGrace + 1);
 	expect(listIds(state)).toEqual([]);
 });
 
@@ -170,16 +170,16 @@
 	const {state} = createState();
 	state.applyConfig(createConfig(4), 'source');
 	state.applyServerList({items: [createServer('i-1')], revision: 3}, 'source');
-	expect([state.takeConfigChanges(4), state.takeServers(3)]).toEqual([undefined, undefined]);
-	expect(state.takeConfigChanges(3)?.version).toBe(4);
-	expect(state.takeServers(2)?.items).toHaveLength(1);
+	expect([state.getConfigChanges(4), state.getServersSnapshot(3)]).toEqual([undefined, undefined]);
+	expect(state.getConfigChanges(3)?.version).toBe(4);
+	expect(state.getServersSnapshot(2)?.items).toHaveLength(1);
 });
 
 test('a node cut off from its source counts as such for a while after it stopped asking', () => {
 	const {state, clock} = createState();
 	state.applyServerList({items: [createServer('i-1')], revision: 3}, 'source');
 	expect(state.isSourceReachable).toBe(true);
-	state.noteOutage('servers');
+	state.recordOutage('servers');
 	clock.advance(9000);
 	expect(state.isSourceReachable).toBe(false);
 	clock.advance(2000);
@@ -207,6 +207,6 @@
 		{name: 'i-1', item: createServer('i-1'), revision: 10},
 		{name: 'i-2', item: createServer('i-2'), revision: 11},
 	], 13, 'source');
-	clock.advance(returnGrace + 1);
+	clock.advance(reregistrationGrace + 1);
 	expect(listIds(state)).toEqual(['i-1', 'i-2']);
 });
--- a/test/server-lives.test.ts
+++ b/test/server-incarnations.test.ts
@@ -4,7 +4,7 @@
 	createSilentLogger, VirtualClock, type AvailabilityZone, type BackendServerId, type BackendServerName, type ServiceName,
 } from '../src/common/index.js';
 import {
-	FleetState, returnGrace, type BackendServer, type Change,
+	FleetState, reregistrationGrace, type BackendServer, type Change,
 } from '../src/routing/index.js';
 
 const app = 'app' as ServiceName;
@@ -41,7 +41,7 @@
 }
 
 /** A node that knows a server that leaves. */
-function createLeaving(): ReturnType<typeof createState> {
+function createStateWithLeavingServer(): ReturnType<typeof createState> {
 	const created = createState();
 	created.state.applyServerList({items: [createEntry('i-1', 1, 3)], revision: 3}, 'source');
 	created.state.applyServerChanges([createChange(createEntry('i-1', 1, 4, {isLeaving: true}))], 4, 'source');
@@ -49,38 +49,38 @@
 	return created;
 }
 
-const second = createEntry('i-1', 2, 6);
+const secondIncarnation = createEntry('i-1', 2, 6);
 
 // A server that was drained and started again under its name stayed "leaving" for good: the loss that the same answer
 // brought back was left out, and whoever leaves leaves. A rollout that keeps names would have taken a service away.
 test('a server that leaves and is back in one answer, in two, or without a loss, takes work again', () => {
 	const answers: Array<Array<Array<Change<BackendServer>>>> = [
-		[[{name: 'i-1', item: undefined}, createChange(second)]],
-		[[{name: 'i-1', item: undefined}], [createChange(second)]],
-		[[createChange(second)]],
+		[[{name: 'i-1', item: undefined}, createChange(secondIncarnation)]],
+		[[{name: 'i-1', item: undefined}], [createChange(secondIncarnation)]],
+		[[createChange(secondIncarnation)]],
 	];
 	for (const answer of answers) {
-		const {state, restarted} = createLeaving();
+		const {state, restarted} = createStateWithLeavingServer();
 		for (const [index, changes] of answer.entries()) {
 			state.applyServerChanges(changes, 7 + index - answer.length, 'source');
 		}
 
 		expect([listIds(state), restarted.length]).toEqual([['i-1@2'], answer.length === 2 ? 0 : 1]);
-		expect([state.findServer('i-1@1' as BackendServerId), state.hasServer('i-1@1' as BackendServerId)]).toEqual([undefined, false]);
+		expect([state.findUsableServer('i-1@1' as BackendServerId), state.hasServer('i-1@1' as BackendServerId)]).toEqual([undefined, false]);
 	}
 });
 
 test('a list and another node\'s view bring the new life as a change does', () => {
-	const listed = createLeaving();
-	listed.state.applyServerList({items: [second], revision: 7}, 'source');
-	const told = createLeaving();
-	told.state.applyServers(listed.state.takeServers(0)!, 'node');
-	expect([listIds(listed.state), listIds(told.state), told.restarted]).toEqual([['i-1@2'], ['i-1@2'], ['i-1@1']]);
+	const listed = createStateWithLeavingServer();
+	listed.state.applyServerList({items: [secondIncarnation], revision: 7}, 'source');
+	const synced = createStateWithLeavingServer();
+	synced.state.applyServers(listed.state.getServersSnapshot(0)!, 'node');
+	expect([listIds(listed.state), listIds(synced.state), synced.restarted]).toEqual([['i-1@2'], ['i-1@2'], ['i-1@1']]);
 });
 
 test('an entry of the earlier life that comes late changes nothing, wherever it comes from', () => {
 	const late = createEntry('i-1', 1, 4, {isLeaving: true});
-	const applyLate: Array<(state: FleetState) => void> = [
+	const applyLateEntry: Array<(state: FleetState) => void> = [
 		state => {
 			state.applyServerChanges([createChange(late)], 8, 'source');
 		},
@@ -94,11 +94,11 @@
 			state.applyServerChanges([{name: 'i-1', item: undefined, revision: 4}], 8, 'source');
 		},
 	];
-	for (const apply of applyLate) {
+	for (const apply of applyLateEntry) {
 		const {state, clock} = createState();
-		state.applyServerList({items: [second], revision: 6}, 'source');
+		state.applyServerList({items: [secondIncarnation], revision: 6}, 'source');
 		apply(state);
-		clock.advance(returnGrace + 1);
+		clock.advance(reregistrationGrace + 1);
 		expect(listIds(state)).toEqual(['i-1@2']);
 	}
 });
@@ -106,7 +106,7 @@
 // Attempts at a server that has restarted are given up.
 test('no restart is told for a life that lapses and comes back, for entries of an earlier one, or for an overwritten one', () => {
 	const {state, restarted} = createState();
-	state.applyServerList({items: [second], revision: 6}, 'source');
+	state.applyServerList({items: [secondIncarnation], revision: 6}, 'source');
 	state.applyServerChanges([{name: 'i-1', item: undefined, revision: 6}], 7, 'source');
 	state.applyServerChanges([createChange(createEntry('i-1', 2, 8))], 8, 'source');
 	state.applyServerList({items: [createEntry('i-1', 1, 5)], revision: 9}, 'source');
@@ -120,13 +120,13 @@
 
 test('a restart is told when the clock of its server was set back meanwhile', () => {
 	const {state, restarted} = createState();
-	state.applyServerList({items: [second], revision: 6}, 'source');
+	state.applyServerList({items: [secondIncarnation], revision: 6}, 'source');
 	state.applyServerChanges([createChange(createEntry('i-1', 1, 7))], 7, 'source');
 	expect([restarted, listIds(state)]).toEqual([['i-1@2'], ['i-1@1']]);
 });
 
 test('one life that leaves holds to it, and another life of its name may leave, too', () => {
-	const {state} = createLeaving();
+	const {state} = createStateWithLeavingServer();
 	state.applyServerChanges([createChange(createEntry('i-1', 1, 5))], 5, 'source');
 	expect(listIds(state)).toEqual([]);
 	state.applyServerChanges([createChange(createEntry('i-1', 2, 6, {isLeaving: true}))], 6, 'source');
@@ -141,10 +141,10 @@
 	}], 4, 'source');
 	expect([listIds(state), state.hasServer('i-1@1' as BackendServerId), state.foreignCount]).toEqual([['i-2@1'], true, 1]);
 	const other = createState();
-	other.state.applyServers(state.takeServers(0)!, 'node');
+	other.state.applyServers(state.getServersSnapshot(0)!, 'node');
 	expect(listIds(other.state)).toEqual(['i-2@1']);
 	state.applyServerChanges([createChange(createEntry('i-1', 1, 5))], 5, 'source');
-	other.state.applyServers(state.takeServers(4)!, 'node');
+	other.state.applyServers(state.getServersSnapshot(4)!, 'node');
 	expect([listIds(state), listIds(other.state), state.foreignCount]).toEqual([['i-1@1', 'i-2@1'], ['i-1@1', 'i-2@1'], 0]);
 });
 
@@ -219,54 +219,54 @@
 }
 
 /** A node that may read the source, and may hear from others. */
-class ReadingNode {
+class SimulatedNode {
 	readonly clock = new VirtualClock();
 	readonly state = new FleetState(this.clock, createSilentLogger());
-	#readUpTo: number | undefined;
+	#knownRevision: number | undefined;
 	/** Answers of the source and of other nodes that are still on their way; of each kind the latest asked for comes last. */
-	readonly #answers: Array<() => void> = [];
+	readonly #pendingAnswers: Array<() => void> = [];
 
 	read(history: EntryHistory, isListed: boolean): void {
-		this.ask(history, isListed);
-		this.receive();
+		this.requestSource(history, isListed);
+		this.receiveAll();
 	}
 
-	hear(other: ReadingNode): void {
-		this.askNode(other);
-		this.receive();
+	syncFrom(other: SimulatedNode): void {
+		this.requestSnapshot(other);
+		this.receiveAll();
 	}
 
 	/** A source gives one answer at a time: what is asked anew is asked for by what was read last. */
-	ask(history: EntryHistory, isListed: boolean): void {
-		const from = isListed ? undefined : this.#readUpTo;
+	requestSource(history: EntryHistory, isListed: boolean): void {
+		const from = isListed ? undefined : this.#knownRevision;
 		const {revision} = history;
 		const listing = history.list();
 		const changes = history.changes.filter(change => from !== undefined && change.at > from);
-		this.#answers.push(() => {
+		this.#pendingAnswers.push(() => {
 			if (from === undefined) {
 				this.state.applyServerList(listing, 'source');
-			} else if (from === this.#readUpTo) {
+			} else if (from === this.#knownRevision) {
 				this.state.applyServerChanges(changes, revision, 'source');
 			} else {
 				return;
 			}
 
-			this.#readUpTo = revision;
+			this.#knownRevision = revision;
 		});
 	}
 
-	askNode(other: ReadingNode): void {
-		const told = other.state.takeServers(this.state.serversRevision);
-		if (told !== undefined) {
-			this.#answers.push(() => {
-				this.state.applyServers(told, 'node');
+	requestSnapshot(other: SimulatedNode): void {
+		const snapshot = other.state.getServersSnapshot(this.state.serversRevision);
+		if (snapshot !== undefined) {
+			this.#pendingAnswers.push(() => {
+				this.state.applyServers(snapshot, 'node');
 			});
 		}
 	}
 
 	/** All that is on its way comes, however late. */
-	receive(): void {
-		for (const take of this.#answers.splice(0)) {
+	receiveAll(): void {
+		for (const take of this.#pendingAnswers.splice(0)) {
 			take();
 		}
 	}
@@ -277,7 +277,7 @@
 	const nodeStep = fc.record({node: fc.nat(2), how: fc.constantFrom('list', 'read', 'hear', 'outage', 'return', 'askList', 'askChanges', 'askNode', 'receive', 'wait'), from: fc.nat(2)});
 	fc.assert(fc.property(fc.array(fc.oneof(entryStep, nodeStep), {maxLength: 80}), steps => {
 		const history = new EntryHistory();
-		const nodes = [1, 2, 3].map(() => new ReadingNode());
+		const nodes = [1, 2, 3].map(() => new SimulatedNode());
 		for (const step of steps) {
 			if ('kind' in step) {
 				history.apply(step);
@@ -291,29 +291,29 @@
 						node.read(history, false);
 					},
 					hear() {
-						node.hear(nodes[step.from]);
+						node.syncFrom(nodes[step.from]);
 					},
 					outage() {
-						node.state.noteOutage('servers');
+						node.state.recordOutage('servers');
 					},
 					return() {
-						node.state.noteReturn('servers');
+						node.state.recordRecovery('servers');
 					},
 					askList() {
-						node.ask(history, true);
+						node.requestSource(history, true);
 					},
 					askChanges() {
-						node.ask(history, false);
+						node.requestSource(history, false);
 					},
 					askNode() {
-						node.askNode(nodes[step.from]);
+						node.requestSnapshot(nodes[step.from]);
 					},
 					receive() {
-						node.receive();
+						node.receiveAll();
 					},
 					wait() {
 						for (const each of nodes) {
-							each.clock.advance(returnGrace / 2);
+							each.clock.advance(reregistrationGrace / 2);
 						}
 					},
 				}[step.how];
@@ -322,16 +322,16 @@
 		}
 
 		for (const node of nodes) {
-			node.receive();
+			node.receiveAll();
 		}
 
-		nodes[0].state.noteReturn('servers');
+		nodes[0].state.recordRecovery('servers');
 		nodes[0].read(history, false);
-		nodes[1].state.noteReturn('servers');
+		nodes[1].state.recordRecovery('servers');
 		nodes[1].read(history, true);
-		nodes[2].hear(nodes[0]);
+		nodes[2].syncFrom(nodes[0]);
 		for (const node of nodes) {
-			node.clock.advance(returnGrace + 1);
+			node.clock.advance(reregistrationGrace + 1);
 		}
 
 		expect(nodes.slice(0, 2).map(node => listIds(node.state))).toEqual([history.listUsable(), history.listUsable()]);
--- a/test/server-limits.test.ts
+++ b/test/server-limits.test.ts
@@ -4,7 +4,7 @@
 } from '@jest/globals';
 import {GatewayFleet, waitUntil} from './helpers/gateways.js';
 import {pause} from './helpers/pause.js';
-import {markAnswer, type RunnerBehaviour} from './helpers/platform-standins.js';
+import {createAnswerHeaders, type ServerBehaviour} from './helpers/platform-standins.js';
 
 /** Limit for tests with seconds of load, in milliseconds. */
 const playLimit = 60_000;
@@ -34,11 +34,11 @@
 	await fleet.stop();
 });
 
-function answerLimited(index: number): RunnerBehaviour {
+function answerLimited(index: number): ServerBehaviour {
 	return (request, response) => {
 		arrivals.set(index, [...arrivals.get(index) ?? [], Date.now()]);
 		const limit = limits.get(index);
-		response.writeHead(200, {...markAnswer(request), 'content-length': '2', ...(limit !== undefined && {'server-limit': String(limit)})});
+		response.writeHead(200, {...createAnswerHeaders(request), 'content-length': '2', ...(limit !== undefined && {'server-limit': String(limit)})});
 		response.end('ok');
 	};
 }
--- a/test/silent-callers.test.ts
+++ b/test/silent-callers.test.ts
@@ -5,7 +5,7 @@
 } from '@jest/globals';
 import {createConfig, GatewayFleet, waitUntil} from './helpers/gateways.js';
 import {
-	answerWhole, formatEvent, markAnswer, type RunnerBehaviour,
+	createTextAnswer, formatEvent, createAnswerHeaders, type ServerBehaviour,
 } from './helpers/platform-standins.js';
 
 /** For tests that wait for a time limit to pass, in milliseconds. */
@@ -21,8 +21,8 @@
 /** Events that are more than all buffers between a server and a caller hold. */
 const manyEvents = 400_000;
 
-const streamEndlessly: RunnerBehaviour = async (request, response) => {
-	response.writeHead(200, {...markAnswer(request), 'content-type': 'text/event-stream'});
+const streamEndlessly: ServerBehaviour = async (request, response) => {
+	response.writeHead(200, {...createAnswerHeaders(request), 'content-type': 'text/event-stream'});
 	for (let id = 1; id <= manyEvents && !response.destroyed; id++) {
 		if (!response.write(`${formatEvent(id)}: ${'x'.repeat(500)}\n\n`)) {
 			await Promise.race([once(response, 'drain'), once(response, 'close')]);
@@ -64,7 +64,7 @@
 beforeEach(async () => {
 	fleet = new GatewayFleet();
 	callers = [];
-	await fleet.start({runners: [{service: 'app', behaviour: answerWhole('yes')}, {service: 'model', behaviour: streamEndlessly}]});
+	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}, {service: 'model', behaviour: streamEndlessly}]});
 	const limits = {
 		maxHeaderBytes: 16_384, maxBodyBytes: 1_000_000, headerTimeoutMs: 1000, idleTimeoutMs: idleLimit,
 	};
@@ -82,8 +82,8 @@
 
 test('a server works no longer than its route allows for a caller that has fallen silent', async () => {
 	await sendBytes(formatHead('/stream/', ['content-length: 0']));
-	await waitUntil(() => fleet.runners[1].seen.length === 1);
-	await waitUntil(() => fleet.runners[1].abandoned === 1, streamLimit + limitSlack);
+	await waitUntil(() => fleet.runners[1].receivedRequests.length === 1);
+	await waitUntil(() => fleet.runners[1].abandonedCount === 1, streamLimit + limitSlack);
 }, limitsTime);
 
 test('a caller\'s connection at rest is closed after the time that the configuration states', async () => {
@@ -111,7 +111,7 @@
 	}
 
 	await waitUntil(() => text.includes('yes'));
-	expect(fleet.runners[0].seen[0].body).toBe('halfhalf');
+	expect(fleet.runners[0].receivedRequests[0].body).toBe('halfhalf');
 }, limitsTime);
 
 test('a caller that falls silent within its body is let go', async () => {
@@ -122,5 +122,5 @@
 	});
 	socket.resume();
 	await waitUntil(() => isEnded, idleLimit + limitSlack);
-	expect(fleet.runners[0].seen).toHaveLength(0);
+	expect(fleet.runners[0].receivedRequests).toHaveLength(0);
 }, limitsTime);
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -4,7 +4,7 @@
 import {systemClock} from '../src/common/index.js';
 import {BackendPool} from '../src/gateway/calls/backend-pool.js';
 import {PeerClients} from '../src/gateway/peers/peer-rpc.js';
-import {Listening} from './helpers/platform-standins.js';
+import {LoopbackServer} from './helpers/platform-standins.js';
 
 /** Connections that are kept when they fall silent. */
 const keptConnections = 4;
@@ -13,13 +13,13 @@
 const answerTime = 30;
 
 /** Answers every request alike, but for those on connections that were made silent. */
-class QuietingServer extends Listening {
+class QuietingServer extends LoopbackServer {
 	constructor() {
 		super(async (request, response) => {
 			await new Promise(resolve => {
 				setTimeout(resolve, answerTime);
 			});
-			if (!this.isMute(request.socket)) {
+			if (!this.isSilenced(request.socket)) {
 				response.writeHead(200, {'content-type': 'application/json'}).end(JSON.stringify({result: {data: true}}));
 			}
 		});
@@ -43,7 +43,7 @@
 	await Promise.all(Array.from({length: keptConnections}, async () => ask(1000)));
 	await waitForRest();
 	expect(server.sockets.size).toBe(keptConnections);
-	server.loseConnections();
+	server.silenceConnections();
 }
 
 beforeEach(async () => {
@@ -120,8 +120,8 @@
 	await Promise.all([server, ...others].map(async ({address}) => askServer(pool, address, 1000)));
 	const [silent, heard] = others;
 	const keptSockets = [...heard.sockets];
-	server.loseConnections();
-	silent.loseConnections();
+	server.silenceConnections();
+	silent.silenceConnections();
 	const waiting = askServer(pool, server.address, 300);
 	await askServer(pool, heard.address, 1000);
 	expect(await waiting).toBeUndefined();
--- a/test/silent-servers.test.ts
+++ b/test/silent-servers.test.ts
@@ -3,7 +3,7 @@
 } from '@jest/globals';
 import {GatewayFleet, type SeenAnswer} from './helpers/gateways.js';
 import {
-	answerWhole, streamEvents, type RunnerBehaviour,
+	createTextAnswer, streamEvents, type ServerBehaviour,
 } from './helpers/platform-standins.js';
 
 /** For tests that wait until silences have been noticed, in milliseconds. */
@@ -41,14 +41,14 @@
 
 beforeEach(async () => {
 	fleet = new GatewayFleet();
-	const slowly = (behaviour: RunnerBehaviour): RunnerBehaviour => (request, response, socket) => {
+	const slowly = (behaviour: ServerBehaviour): ServerBehaviour => (request, response, socket) => {
 		setTimeout(() => {
 			void behaviour(request, response, socket);
 		}, answerTime);
 	};
 
 	await fleet.start({
-		runners: services.map(service => ({service, behaviour: slowly(service === 'app' ? answerWhole('yes') : streamEvents(3))})),
+		runners: services.map(service => ({service, behaviour: slowly(service === 'app' ? createTextAnswer('yes') : streamEvents(3))})),
 	});
 });
 
@@ -71,7 +71,7 @@
 
 	expect(runners.every(runner => runner.sockets.size > 0)).toBe(true);
 	for (const runner of runners) {
-		runner.loseConnections();
+		runner.silenceConnections();
 	}
 }
 
@@ -123,7 +123,7 @@
 test('a prompt that several servers read is not sent over a connection that may be silent', async () => {
 	for (const runner of fleet.runners) {
 		const {behaviour} = runner;
-		runner.behaviour = async (request, response, socket) => request.url === '/v1/order' ? answerWhole('{}')(request, response, socket) : behaviour(request, response, socket);
+		runner.behaviour = async (request, response, socket) => request.url === '/v1/order' ? createTextAnswer('{}')(request, response, socket) : behaviour(request, response, socket);
 	}
 
 	for (const _ of [1, 2]) {
@@ -133,5 +133,5 @@
 		expect([answer.status, answer.isWhole, Date.now() - started < oneSilence / 2]).toEqual([200, true, true]);
 	}
 
-	expect(fleet.runners.some(runner => runner.seen.some(request => request.headers.helpers !== undefined))).toBe(true);
+	expect(fleet.runners.some(runner => runner.receivedRequests.some(request => request.headers.helpers !== undefined))).toBe(true);
 }, silencesLimit);
--- a/test/status.test.ts
+++ b/test/status.test.ts
@@ -7,8 +7,8 @@
 import {
 	findFreePorts, GatewayFleet, send, waitUntil,
 } from './helpers/gateways.js';
-import {LogMemory} from './helpers/logs.js';
-import {answerWhole, decline, streamEvents} from './helpers/platform-standins.js';
+import {LogCapture} from './helpers/logs.js';
+import {createTextAnswer, decline, streamEvents} from './helpers/platform-standins.js';
 
 /** How long one reading of a node's status is told, in milliseconds. */
 const readEvery = 250;
@@ -100,19 +100,19 @@
 });
 
 test('retries that were taken are missing from what is left', async () => {
-	const log = new LogMemory();
+	const log = new LogCapture();
 	fleet.loggers.push(createLogger('info', log));
 	await fleet.start({runners: [{service: 'app', behaviour: decline}, {service: 'app', behaviour: decline}]});
 	await fleet.call({path: '/again/'});
 	await pass(readEvery);
 	const {services} = await readStatus();
 	const {retries} = services.find(({service}) => service === 'app')!;
-	expect(log.listLines('retry').length).toBeGreaterThan(0);
-	expect(retries).toMatchObject({requests: 1, retries: log.listLines('retry').length});
+	expect(log.listEvents('retry').length).toBeGreaterThan(0);
+	expect(retries).toMatchObject({requests: 1, retries: log.listEvents('retry').length});
 });
 
 test('the text names the same for people', async () => {
-	await fleet.start({runners: [{service: 'app', behaviour: answerWhole('yes')}]});
+	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await fleet.call({path: '/once/'});
 	await pass(readEvery);
 	const {code, out} = await runCommand('status', findAddress());
@@ -125,7 +125,7 @@
 });
 
 test('who asks in a loop is told one reading, and an answer stays small however many servers there are', async () => {
-	await fleet.start({runners: [{service: 'app', behaviour: answerWhole('yes')}]});
+	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	for (let index = 1; index <= 1500; index++) {
 		fleet.store.put('servers', `i-x${index}`, {
 			service: 'app', address: `127.0.0.1:${1 + (index % 9)}`, zone: 'north', version: 'v1', slots: 11, state: 'ready', coldRemainingMs: 0, sequence: 1,
--- a/test/store-returns.test.ts
+++ b/test/store-returns.test.ts
@@ -4,7 +4,7 @@
 import type {ServiceName} from '../src/common/index.js';
 import {createConfig, GatewayFleet, waitUntil} from './helpers/gateways.js';
 import {pause} from './helpers/pause.js';
-import {answerWhole} from './helpers/platform-standins.js';
+import {createTextAnswer} from './helpers/platform-standins.js';
 
 /** For tests that wait until a silence has been noticed, in milliseconds. */
 const silenceLimit = 30_000;
@@ -22,7 +22,7 @@
 
 beforeEach(async () => {
 	fleet = new GatewayFleet();
-	await fleet.start({nodes: fleetSize, runners: [{service: 'app', behaviour: answerWhole('yes')}]});
+	await fleet.start({nodes: fleetSize, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await waitUntil(() => fleet.gateways.filter(gateway => gateway.isWatcher).length === 3 && fleet.store.waitingWatches > 0);
 });
 
@@ -49,7 +49,7 @@
 }, silenceLimit);
 
 test('a change made when all connections to the store have just fallen silent is in force within three seconds', async () => {
-	fleet.store.loseConnections();
+	fleet.store.silenceConnections();
 	fleet.store.put('config', 'main', createConfig(2));
 	fleet.putServer(0, 'app', 'draining');
 	await waitUntil(() => areAllAt(2) && fleet.gateways.every(gateway => gateway.state.listServers('app' as ServiceName).length === 0), 3000);
@@ -58,7 +58,7 @@
 
 test('changes are in force within three seconds each when all connections to the store fall silent twice in a row', async () => {
 	for (const version of [2, 3]) {
-		fleet.store.loseConnections();
+		fleet.store.silenceConnections();
 		fleet.store.put('config', 'main', createConfig(version));
 		await waitUntil(() => areAllAt(version), 3000);
 	}
@@ -70,7 +70,7 @@
 // other watch of its node. When only the watches of the servers fell silent, at all three followers, nobody found it: a
 // leaving server was used for 5.4 s more (a watch of 5,000 ms given up 400 ms late), of the two seconds allowed.
 test('a leaving server is known within three seconds when the watches of the servers alone fall silent at all followers', async () => {
-	fleet.store.loseWatches('servers');
+	fleet.store.silenceWatches('servers');
 	fleet.putServer(0, 'app', 'draining');
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.state.listServers('app' as ServiceName).length === 0), 3000);
 	expect(fleet.gateways.every(gateway => gateway.isReady)).toBe(true);
@@ -78,8 +78,8 @@
 
 test('nodes register though all connections to the store fall silent before they do', async () => {
 	const late = new GatewayFleet();
-	await late.start({runners: [{service: 'app', behaviour: answerWhole('yes')}]});
-	late.store.loseConnections();
+	await late.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
+	late.store.silenceConnections();
 	await waitUntil(() => late.store.listNames('cresshook-nodes').includes('edge-0'), 6000);
 	expect(late.store.listNames('cresshook-nodes')).toEqual(['edge-0']);
 	await late.stop();
@@ -89,7 +89,7 @@
 // A follower that left out what it knew left them out: servers that had ended stayed in use at every node (12 of 11 after a run,
 // `server_added` and never `server_gone`).
 test('a server whose entry is gone is forgotten by every node', async () => {
-	await fleet.addRunner('app', answerWhole('also'));
+	await fleet.addRunner('app', createTextAnswer('also'));
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.state.listServers('app' as ServiceName).length === 2));
 	fleet.store.remove('servers', 'i-0');
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.state.listServers('app' as ServiceName).length === 1), 3000);
--- a/test/unused-memory.test.ts
+++ b/test/unused-memory.test.ts
@@ -10,7 +10,7 @@
 } from '../src/gateway/calls/index.js';
 import type {Plan} from '../src/planning/index.js';
 import {waitUntil} from './helpers/gateways.js';
-import {StandinRunner} from './helpers/platform-standins.js';
+import {StandinServer} from './helpers/platform-standins.js';
 
 /** Time in which memory that nobody uses must be free, in milliseconds: more counts as lost. */
 const freeWithin = 3500;
@@ -21,7 +21,7 @@
 /** Two renewals and some time, in milliseconds. */
 const twoRenewals = 2200;
 
-let runner: StandinRunner;
+let runner: StandinServer;
 let pool: BackendPool;
 let state: 'held' | 'used';
 let orders: string[];
@@ -43,7 +43,7 @@
 	orders = [];
 	reports = 0;
 	pool = new BackendPool(systemClock);
-	runner = await new StandinRunner((request, response) => {
+	runner = await new StandinServer((request, response) => {
 		if (request.url === '/v1/report') {
 			reports++;
 			response.end(JSON.stringify({tickets: [{id: 'id-1-plan-1-o', tokens: 5000, state}, {id: 'other', tokens: 1, state: 'used'}]}));
@@ -99,9 +99,9 @@
 
 test('memory is renewed and freed over new connections when those to its server fall silent, twice in a row', async () => {
 	await takeMemory(() => ({hasBegun: false, quietFor: 0}));
-	runner.loseConnections();
+	runner.silenceConnections();
 	await waitUntil(() => orders.length === 2, holdFor);
-	runner.loseConnections();
+	runner.silenceConnections();
 	lease?.release();
 	await waitUntil(() => orders.includes('release'), freeWithin);
 	expect(orders).toEqual(['reserve', 'reserve', 'release']);
--- a/test/view-questions.test.ts
+++ b/test/view-questions.test.ts
@@ -5,7 +5,7 @@
 import type {PeerView} from '../src/gateway/peers/peer-beat.js';
 import {ViewQuestions, type ViewQuestion} from '../src/gateway/views/index.js';
 import {createPeer} from './helpers/peers.js';
-import {passTime} from './helpers/sources.js';
+import {advanceClock} from './helpers/sources.js';
 
 type Put = {node: BoxId; at: number; question: ViewQuestion; answer: () => void};
 
@@ -42,29 +42,29 @@
 
 test('each silence is borne twice as long as the one before, and four questions are under way at most', async () => {
 	const {clock, puts} = startQuestions();
-	await passTime(clock, 1900);
+	await advanceClock(clock, 1900);
 	expect(puts.map(put => put.at)).toEqual([0, 100, 300, 700]);
 	expect(new Set(puts.map(put => put.node))).toEqual(new Set(['n1', 'n2', 'n3']));
 });
 
 test('the first question that is heard ends the others, and is waited for while its parts keep coming', async () => {
 	const {clock, puts} = startQuestions();
-	await passTime(clock, 150);
+	await advanceClock(clock, 150);
 	for (let part = 0; part < 20; part++) {
 		puts[0].question.onHeard();
-		await passTime(clock, 200);
+		await advanceClock(clock, 200);
 	}
 
 	expect(puts.map(put => put.question.signal.aborted)).toEqual([false, true]);
-	await passTime(clock, 100);
+	await advanceClock(clock, 100);
 	expect(puts).toHaveLength(3);
 });
 
 test('an answer ends all other questions', async () => {
 	const {clock, puts, questions} = startQuestions();
-	await passTime(clock, 350);
+	await advanceClock(clock, 350);
 	puts[1].answer();
-	await passTime(clock, 3000);
+	await advanceClock(clock, 3000);
 	expect(puts.map(put => put.question.signal.aborted)).toEqual([true, false, true]);
 	expect(questions.asked).toEqual([]);
 });
