--- a/src/gateway/address-lifetime.ts
+++ b/src/gateway/address-lifetime.ts
@@ -6,7 +6,7 @@
 	readonly #clock: Clock;
 	#seconds: number;
 	/** When the last answer with an earlier, longer lifetime runs out. */
-	#earlierUntil = -Infinity;
+	#earlierExpiry = -Infinity;
 
 	constructor(clock: Clock, seconds: number) {
 		this.#clock = clock;
@@ -20,12 +20,12 @@
 
 	/** Changes the lifetime; answers that are out keep theirs. */
 	change(seconds: number): void {
-		this.#earlierUntil = Math.max(this.#earlierUntil, this.#clock.readMonotonic() + (this.#seconds * 1000));
+		this.#earlierExpiry = Math.max(this.#earlierExpiry, this.#clock.readMonotonic() + (this.#seconds * 1000));
 		this.#seconds = seconds;
 	}
 
 	/** Time until every answer given so far has run out, in milliseconds. */
-	findLongest(): number {
-		return Math.max(this.#seconds * 1000, this.#earlierUntil - this.#clock.readMonotonic());
+	computeRemaining(): number {
+		return Math.max(this.#seconds * 1000, this.#earlierExpiry - this.#clock.readMonotonic());
 	}
 }
--- a/src/gateway/calls/backend-attempt.ts
+++ b/src/gateway/calls/backend-attempt.ts
@@ -10,7 +10,7 @@
 } from '../../common/index.js';
 import {moveShare, type Plan, type Trouble} from '../../planning/index.js';
 import type {Route} from '../../routing/index.js';
-import type {AnswerHead, GatewayWire, HeaderFields} from '../wire.js';
+import type {ResponseHead, GatewayWire, HeaderFields} from '../wire.js';
 import {BackendExchange} from './backend-exchange.js';
 import type {Call} from './call.js';
 import type {CallSink} from './call-sink.js';
@@ -86,7 +86,7 @@
 	readonly #frames = new EventFrames();
 	readonly #held: Uint8Array[] = [];
 	#heldLength = 0;
-	#head: AnswerHead | undefined;
+	#head: ResponseHead | undefined;
 	#isStream = false;
 	#hasData = false;
 	#hasFirst = false;
@@ -160,7 +160,7 @@
 	}
 
 	#takeHead(status: number, headers: HeaderFields): void {
-		const head = this.#parts.wire.readAnswer(status, headers);
+		const head = this.#parts.wire.readResponseHead(status, headers);
 		this.#head = head;
 		if (head.requestId !== undefined && head.requestId !== this.#parts.call.head.requestId) {
 			this.#giveUp('spoiled', 'the answer belongs to another request');
@@ -275,7 +275,7 @@
 		this.#finish({kind: 'done'});
 	}
 
-	#endWhole(head: AnswerHead): void {
+	#endWhole(head: ResponseHead): void {
 		const {server} = this.#parts.plan;
 		const body = Buffer.concat(this.#held);
 		if (head.isDeclined) {
@@ -305,7 +305,7 @@
 	}
 
 	/** A stream that has begun with the caller cannot turn into a failure answer. */
-	#deliver(head: AnswerHead, body: Uint8Array): void {
+	#deliver(head: ResponseHead, body: Uint8Array): void {
 		const {sink} = this.#parts;
 		if (sink.hasHead) {
 			sink.cut();
--- a/src/gateway/calls/call-service.ts
+++ b/src/gateway/calls/call-service.ts
@@ -72,7 +72,7 @@
 	async serve(request: IncomingMessage, body: Uint8Array | undefined, sink: HttpSink, response: ServerResponse): Promise<void> {
 		const arrived = this.#parts.clock.readMonotonic();
 		const {wire, logger} = this.#parts;
-		const head = wire.readCall(request.method ?? 'GET', request.url ?? '/', request.headers);
+		const head = wire.readCallHead(request.method ?? 'GET', request.url ?? '/', request.headers);
 		await waitForFirstView(this.#parts.clock, this.#parts.state);
 		if (response.destroyed) {
 			logger.info({event: 'call_refused', kind: 'caller_gone', status: 0}, 'the caller left before the node knew the fleet');
@@ -142,7 +142,7 @@
 		const service = call.service.name;
 		this.#parts.metrics.countCall(service, outcome.failure?.kind ?? 'whole');
 		if (outcome.firstAfter !== undefined) {
-			this.#parts.metrics.recordFirst(service, call.head.promptTokens <= longestShortPrompt ? 'short' : 'long', outcome.firstAfter);
+			this.#parts.metrics.recordFirstEvent(service, call.head.promptTokens <= longestShortPrompt ? 'short' : 'long', outcome.firstAfter);
 		}
 
 		logger.info({
--- a/src/gateway/calls/live-attempt.ts
+++ b/src/gateway/calls/live-attempt.ts
@@ -236,7 +236,7 @@
 			method: call.head.method,
 			path: call.head.target,
 			body: call.body,
-			headers: wire.formatSend({
+			headers: wire.formatBackendRequest({
 				call: call.head,
 				serverName: server.name,
 				organisation: call.organisation?.name,
--- a/src/gateway/deciding/shared-placer.ts
+++ b/src/gateway/deciding/shared-placer.ts
@@ -137,7 +137,7 @@
 		}
 
 		const {decidedBy, result} = await this.#decide(this.#addCrashes(request));
-		this.#parts.metrics.recordPlace(decidedBy, this.#parts.clock.readMonotonic() - started);
+		this.#parts.metrics.recordPlacement(decidedBy, this.#parts.clock.readMonotonic() - started);
 		return result.map(decision => {
 			if (decision.kind === 'wait') {
 				return {askAgainIn: decision.askAgainIn};
--- a/src/gateway/digest.ts
+++ b/src/gateway/digest.ts
@@ -4,8 +4,8 @@
 /** So many letters, of six bits each, that depend on all of a text, or of several pieces one after the other. */
 export function computeDigest(content: string | Array<string | Uint8Array>, length: number): string {
 	const hash = createHash('sha1');
-	for (const piece of typeof content === 'string' ? [content] : content) {
-		hash.update(piece);
+	for (const chunk of typeof content === 'string' ? [content] : content) {
+		hash.update(chunk);
 	}
 
 	return hash.digest('base64url').slice(0, length);
--- a/src/gateway/gateway-metrics.ts
+++ b/src/gateway/gateway-metrics.ts
@@ -7,7 +7,7 @@
 const latencyBuckets = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 1.5, 3, 5, 10, 15];
 
 /** Upper bounds of the buckets for times inside the gateway, in seconds. */
-const askBuckets = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1];
+const placementBuckets = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1];
 
 /** What a gateway counts. */
 export class GatewayMetrics {
@@ -16,12 +16,12 @@
 		name: 'cresshook_calls_total', help: 'calls ended, by service and outcome', labelNames: ['service', 'outcome'], registers: [this.#registry],
 	});
 
-	readonly #first = new Histogram({
+	readonly #firstEventTime = new Histogram({
 		name: 'cresshook_first_seconds', help: 'time to the first event or the whole answer', labelNames: ['service', 'length'], buckets: latencyBuckets, registers: [this.#registry],
 	});
 
-	readonly #asks = new Histogram({
-		name: 'cresshook_place_seconds', help: 'time to get a place, by who decided', labelNames: ['decided_by'], buckets: askBuckets, registers: [this.#registry],
+	readonly #placementTime = new Histogram({
+		name: 'cresshook_place_seconds', help: 'time to get a place, by who decided', labelNames: ['decided_by'], buckets: placementBuckets, registers: [this.#registry],
 	});
 
 	readonly #retries = new Counter({
@@ -32,11 +32,11 @@
 		name: 'cresshook_backend_troubles_total', help: 'troubles seen with backend servers', labelNames: ['service', 'trouble'], registers: [this.#registry],
 	});
 
-	readonly #ends = new Counter({
+	readonly #serverEnds = new Counter({
 		name: 'cresshook_requests_at_server_end_total', help: 'requests that a backend server ran when it ended', labelNames: ['service'], registers: [this.#registry],
 	});
 
-	readonly #left = new Counter({
+	readonly #abandonedConnections = new Counter({
 		name: 'cresshook_connections_left_total', help: 'connections left because they were silent, by what they were for', labelNames: ['kind'], registers: [this.#registry],
 	});
 
@@ -48,7 +48,7 @@
 		name: 'cresshook_source_age_seconds', help: 'time since the store was heard, by this node where it follows it, and by any node', labelNames: ['items', 'by'], registers: [this.#registry],
 	});
 
-	readonly #gauges = new Gauge({
+	readonly #state = new Gauge({
 		name: 'cresshook_state', help: 'what the node believes: configuration version, live nodes, servers, calls in progress', labelNames: ['what'], registers: [this.#registry],
 	});
 
@@ -58,13 +58,13 @@
 	}
 
 	/** Notes the time to the first event, in milliseconds; `length` is the class of the prompt. */
-	recordFirst(service: string, length: string, time: number): void {
-		this.#first.observe({service, length}, time / 1000);
+	recordFirstEvent(service: string, length: string, time: number): void {
+		this.#firstEventTime.observe({service, length}, time / 1000);
 	}
 
 	/** Notes the time to get a place, in milliseconds. */
-	recordPlace(decidedBy: string, time: number): void {
-		this.#asks.observe({decided_by: decidedBy}, time / 1000);
+	recordPlacement(decidedBy: string, time: number): void {
+		this.#placementTime.observe({decided_by: decidedBy}, time / 1000);
 	}
 
 	/** Counts a retry, or one that was not allowed. */
@@ -79,12 +79,12 @@
 
 	/** Counts a request that a server ran when it ended. */
 	countServerEnd(service: string): void {
-		this.#ends.inc({service});
+		this.#serverEnds.inc({service});
 	}
 
 	/** Counts connections that were left because one was silent. */
-	countLeft(kind: string): void {
-		this.#left.inc({kind});
+	countAbandonedConnections(kind: string): void {
+		this.#abandonedConnections.inc({kind});
 	}
 
 	/** Sets for how long a newer configuration than the node's own has been known of, in milliseconds. */
@@ -103,7 +103,7 @@
 
 	/** Sets what the node believes. */
 	setState(what: string, value: number): void {
-		this.#gauges.set({what}, value);
+		this.#state.set({what}, value);
 	}
 
 	/** All figures as text. */
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -19,7 +19,7 @@
 	type Adoption, type DecisionAnswer, listCallerAddresses, type Peer, PeerClients, Peers, PeerService, PeerSocket,
 } from './peers/index.js';
 import {
-	register, SourceReport, ViewAnswers, ViewExchange,
+	register, SourceAgeReporter, ViewResponder, ViewExchange,
 } from './views/index.js';
 import {GatewayMetrics} from './gateway-metrics.js';
 import type {GatewaySettings} from './gateway-settings.js';
@@ -45,16 +45,16 @@
 };
 
 /** Share of the grace after which a stopping node ends whatever goes on. */
-const stopShare = 0.9;
+const forceStopShare = 0.9;
 
 /** Share of the grace for which a stopping node takes new calls at most: what is left must do for their answers. */
-const openShare = 0.375;
+const acceptShare = 0.375;
 
 /** Pause between looks at whether calls have ended, in milliseconds. */
-const stopPoll = 50;
+const drainPollInterval = 50;
 
 /** Letters of a life: enough that no two among thousands are alike by chance. */
-const lifeLength = 6;
+const incarnationLength = 6;
 
 /** One gateway process. */
 export class Gateway extends PeerService {
@@ -68,14 +68,14 @@
 	readonly #calls: CallService;
 	readonly #servers: OpenServer[] = [];
 	readonly #supervisorStop = new AbortController();
-	readonly #life: string;
-	readonly #lifetime: AddressLifetime;
+	readonly #incarnation: string;
+	readonly #addressLifetime: AddressLifetime;
 	readonly #socket: PeerSocket;
 	readonly #views: ViewExchange;
-	readonly #viewAnswers: ViewAnswers;
-	readonly #sourceReport: SourceReport;
+	readonly #viewResponder: ViewResponder;
+	readonly #sourceAgeReporter: SourceAgeReporter;
 	readonly #status: StatusReader;
-	readonly #health = new SourceHealth();
+	readonly #sourceHealth = new SourceHealth();
 	#isStopping = false;
 	#running: Promise<void> | undefined;
 
@@ -83,14 +83,14 @@
 		super();
 		const {clock, logger, wire} = parts;
 		this.#parts = {...parts};
-		this.#lifetime = new AddressLifetime(clock, parts.settings.address_lifetime_seconds);
-		this.#life = computeDigest(parts.ids.createUuid(), lifeLength);
+		this.#addressLifetime = new AddressLifetime(clock, parts.settings.address_lifetime_seconds);
+		this.#incarnation = computeDigest(parts.ids.createUuid(), incarnationLength);
 		this.state = new FleetState(clock, logger);
 		this.#pool = new BackendPool(clock);
 		this.#clients = new PeerClients(clock, () => {
-			this.metrics.countLeft('peer');
+			this.metrics.countAbandonedConnections('peer');
 		});
-		this.#viewAnswers = new ViewAnswers(this.state);
+		this.#viewResponder = new ViewResponder(this.state);
 		const self = () => this.#describeSelf();
 		this.#views = new ViewExchange({
 			clock,
@@ -99,12 +99,12 @@
 			clients: this.#clients,
 			self,
 			isFirstStart: parts.settings.first_start && !isSeed(parts.settings),
-			health: this.#health,
-			onSilent: part => {
-				this.metrics.countLeft(part);
+			health: this.#sourceHealth,
+			onStalled: part => {
+				this.metrics.countAbandonedConnections(part);
 			},
 		});
-		this.#sourceReport = new SourceReport({
+		this.#sourceAgeReporter = new SourceAgeReporter({
 			logger, metrics: this.metrics, state: this.state, isWatcher: () => this.isWatcher,
 		});
 		this.#peers = new Peers({
@@ -128,7 +128,7 @@
 		});
 		this.#peers.addViewListener((peer, view) => {
 			this.#views.compareView(peer, view);
-			this.#status.noteView(peer, view);
+			this.#status.recordView(peer, view);
 		});
 		const {ratio, slack, window_seconds: seconds} = parts.settings.retry;
 		this.#placer = new SharedPlacer({
@@ -141,7 +141,7 @@
 			clients: this.#clients,
 			socket: this.#socket,
 			retries: {ratio, slack, window: seconds * 1000},
-			countTold: () => countToldOf(this.#parts.settings),
+			countTold: () => countConfiguredNodes(this.#parts.settings),
 			self,
 		});
 		this.#calls = new CallService({
@@ -232,7 +232,7 @@
 	changeSettings(changed: GatewaySettings): void {
 		const {inForce, taken} = this.compareSettings(changed);
 		this.#parts.settings = inForce;
-		this.#lifetime.change(inForce.address_lifetime_seconds);
+		this.#addressLifetime.change(inForce.address_lifetime_seconds);
 		this.#placer.setAllowedRetries(inForce.retry);
 		this.#addSeeds(findHost(inForce));
 		if (taken.includes('log.level')) {
@@ -250,16 +250,16 @@
 	async stop(): Promise<void> {
 		const {clock, logger, settings} = this.#parts;
 		this.#isStopping = true;
-		const stopAt = clock.readMonotonic();
+		const stoppingSince = clock.readMonotonic();
 		const grace = settings.stop.grace_seconds * 1000;
 		logger.info({event: 'stopping', calls: this.#calls.inProgress}, 'the node leaves; calls in progress are served on');
-		await waitFor(clock, Math.min(this.#lifetime.findLongest(), grace * openShare));
-		this.#closeDoor();
-		while (this.#calls.inProgress > 0 && clock.readMonotonic() < stopAt + (grace * stopShare)) {
-			await waitFor(clock, stopPoll);
+		await waitFor(clock, Math.min(this.#addressLifetime.computeRemaining(), grace * acceptShare));
+		this.#stopAccepting();
+		while (this.#calls.inProgress > 0 && clock.readMonotonic() < stoppingSince + (grace * forceStopShare)) {
+			await waitFor(clock, drainPollInterval);
 		}
 
-		logger.info({event: 'stopped', cutOff: this.#calls.inProgress, took: Math.round(clock.readMonotonic() - stopAt)}, 'the node ends');
+		logger.info({event: 'stopped', cutOff: this.#calls.inProgress, took: Math.round(clock.readMonotonic() - stoppingSince)}, 'the node ends');
 		await this.close();
 	}
 
@@ -289,15 +289,15 @@
 	}
 
 	override takeServers(known: {revision: number}): PackedText | undefined {
-		return this.#viewAnswers.takeServers(known);
+		return this.#viewResponder.takeServers(known);
 	}
 
 	override takeConfig(known: {version: number}): PackedText | undefined {
-		return this.#viewAnswers.takeConfig(known);
+		return this.#viewResponder.takeConfig(known);
 	}
 
 	/** Takes no new connections, and closes kept ones that are at rest; those at work close with their answers. */
-	#closeDoor(): void {
+	#stopAccepting(): void {
 		const callers = this.#servers.at(-1)?.server;
 		callers?.close();
 		callers?.closeIdleConnections();
@@ -306,15 +306,15 @@
 	#listAddresses(zone: AvailabilityZone): {addresses: string[]; lifetime: number} {
 		// A node that hears nobody and cannot reach its source is more likely cut off itself than alone.
 		const isCutOff = this.#peers.listLive().length === 0 && !this.state.isSourceReachable;
-		const known = [...this.#peers.listReady(), ...(isCutOff ? this.#peers.listKnown().filter(peer => peer.isReady) : [])];
-		return {addresses: listCallerAddresses(known, zone), lifetime: this.#lifetime.seconds};
+		const candidates = [...this.#peers.listReady(), ...(isCutOff ? this.#peers.listKnown().filter(peer => peer.isReady) : [])];
+		return {addresses: listCallerAddresses(candidates, zone), lifetime: this.#addressLifetime.seconds};
 	}
 
 	#describeSelf(): Peer {
 		const {settings} = this.#parts;
 		return {
 			name: settings.box as BoxId,
-			life: this.#life,
+			life: this.#incarnation,
 			availabilityZone: settings.availability_zone as AvailabilityZone,
 			callerAddress: settings.listen.callers,
 			peerAddress: settings.listen.peers,
@@ -340,7 +340,7 @@
 		const {clock, logger, random, source} = this.#parts;
 		const supervisor = new Supervisor('gateway', clock, logger);
 		const asksSource = () => this.#views.asksSource;
-		const health = this.#health;
+		const health = this.#sourceHealth;
 		supervisor.addChild(new Follower({
 			name: 'configuration',
 			timing: followTiming,
@@ -387,7 +387,7 @@
 		this.metrics.setState('live_nodes', this.#peers.countLive() + 1);
 		this.metrics.setState('config_version', this.state.configVersion);
 		this.metrics.setConfigLag(this.#views.reportLag());
-		this.#sourceReport.tick();
+		this.#sourceAgeReporter.tick();
 		this.metrics.setState('usable_servers', this.state.usableServers);
 		this.metrics.setState('foreign_servers', this.state.foreignCount);
 		this.metrics.setState('calls', this.#calls.inProgress);
@@ -410,7 +410,7 @@
 }
 
 /** The nodes that the settings name, this one among them. */
-function countToldOf(settings: GatewaySettings): number {
+function countConfiguredNodes(settings: GatewaySettings): number {
 	return new Set([findHost(settings), ...settings.seeds.map(seed => seed.split(':')[0])]).size;
 }
 
--- a/src/gateway/node-status.ts
+++ b/src/gateway/node-status.ts
@@ -13,15 +13,15 @@
 export const statusPath = '/status';
 
 /** How long one reading is told, in milliseconds. */
-const readEvery = 250;
+const cacheTime = 250;
 
 /** Most nodes, services and servers of all services that are told one by one: some hundred kilobytes. */
-const mostNodes = 400;
-const mostServices = 64;
-const mostServers = 512;
+const maxNodes = 400;
+const maxServices = 64;
+const maxServers = 512;
 
 /** Another node, or this one. */
-export type NodeLine = {
+export type NodeSummary = {
 	name: BoxId;
 	life: string;
 	availabilityZone: AvailabilityZone;
@@ -34,7 +34,7 @@
 
 /** How a node stands. `omitted` counts what did not fit. */
 export type NodeStatus = {
-	node: NodeLine;
+	node: NodeSummary;
 	phase: 'starting' | 'ready' | 'stopping';
 	isWatcher: boolean;
 	isSourceOut: boolean;
@@ -44,7 +44,7 @@
 	calls: number;
 	servers: {usable: number; foreign: number};
 	services: ServiceWork[];
-	nodes: {live: number; known: number; listed: NodeLine[]};
+	nodes: {live: number; known: number; listed: NodeSummary[]};
 	omitted: {services: number; nodes: number};
 };
 
@@ -73,14 +73,14 @@
 	}
 
 	/** Notes how new the view of another node is. */
-	noteView({name}: Peer, view: PeerView): void {
+	recordView({name}: Peer, view: PeerView): void {
 		this.#views.set(name, view);
 	}
 
 	/** How the node stands, as JSON. */
 	formatText(): string {
 		const now = this.#parts.clock.readMonotonic();
-		if (now - this.#readAt >= readEvery) {
+		if (now - this.#readAt >= cacheTime) {
 			this.#text = JSON.stringify(this.#read());
 			this.#readAt = now;
 		}
@@ -94,7 +94,7 @@
 		} = this.#parts;
 		const live = peers.listLive();
 		const services = state.table?.config.services ?? [];
-		this.#forgetViews(new Set(live.map(peer => peer.name)));
+		this.#pruneViews(new Set(live.map(peer => peer.name)));
 		return {
 			node: this.#describeSelf(),
 			phase: isStopping() ? 'stopping' : (state.isUsable ? 'ready' : 'starting'),
@@ -105,27 +105,27 @@
 			})),
 			calls: countCalls(),
 			servers: {usable: state.usableServers, foreign: state.foreignCount},
-			services: this.#describeServices(services.slice(0, mostServices).map(service => service.name)),
-			nodes: {live: live.length + 1, known: peers.countKnown() + 1, listed: live.slice(0, mostNodes).map(peer => describePeer(peer, this.#views.get(peer.name)))},
-			omitted: {services: Math.max(0, services.length - mostServices), nodes: Math.max(0, live.length - mostNodes)},
+			services: this.#describeServices(services.slice(0, maxServices).map(service => service.name)),
+			nodes: {live: live.length + 1, known: peers.countKnown() + 1, listed: live.slice(0, maxNodes).map(peer => describePeer(peer, this.#views.get(peer.name)))},
+			omitted: {services: Math.max(0, services.length - maxServices), nodes: Math.max(0, live.length - maxNodes)},
 		};
 	}
 
-	#describeSelf(): NodeLine {
+	#describeSelf(): NodeSummary {
 		const {configVersion, serversRevision} = this.#parts.state;
 		return describePeer(this.#parts.self(), {configVersion, serversRevision});
 	}
 
 	#describeServices(names: Array<ServiceWork['service']>): ServiceWork[] {
-		let left = mostServers;
+		let remaining = maxServers;
 		return names.map(name => {
-			const described = this.#parts.placer.describe(name, left);
-			left -= described.servers.length;
+			const described = this.#parts.placer.describe(name, remaining);
+			remaining -= described.servers.length;
 			return described;
 		});
 	}
 
-	#forgetViews(live: ReadonlySet<BoxId>): void {
+	#pruneViews(live: ReadonlySet<BoxId>): void {
 		for (const name of this.#views.keys()) {
 			if (!live.has(name)) {
 				this.#views.delete(name);
@@ -134,7 +134,7 @@
 	}
 }
 
-function describePeer(peer: Peer, view: Pick<PeerView, 'configVersion' | 'serversRevision'> | undefined): NodeLine {
+function describePeer(peer: Peer, view: Pick<PeerView, 'configVersion' | 'serversRevision'> | undefined): NodeSummary {
 	const {
 		name, life, availabilityZone, isReady, isSourceReachable,
 	} = peer;
--- a/src/gateway/servers.ts
+++ b/src/gateway/servers.ts
@@ -12,30 +12,30 @@
 import type {GatewayWire} from './wire.js';
 
 /** Largest request head, in bytes: above what any configuration allows, which is checked apart. */
-const mostHeaderBytes = 65_536;
+const maxHeadBytes = 65_536;
 
 /** Largest message between nodes, in bytes: a view of the fleet. */
-const mostPeerBytes = 16 * 1024 * 1024;
+const maxPeerMessageBytes = 16 * 1024 * 1024;
 
 /** Time for a request head before a configuration states one, in milliseconds. */
-const defaultHeadTime = 5000;
+const defaultHeadTimeout = 5000;
 
 /** How long an idle connection is kept before a configuration states it, in milliseconds. */
-const defaultIdleTime = 15_000;
+const defaultIdleTimeout = 15_000;
 
 /** How long an idle connection between nodes is kept, in milliseconds. */
-const peerIdleTime = 60_000;
+const peerIdleTimeout = 60_000;
 
 /** A listener: its framework instance is closed by the gateway. */
 export type OpenServer = FastifyInstance;
 
-function createServer(bodyLimit: number, idleTime = defaultIdleTime): OpenServer {
+function createServer(bodyLimit: number, idleTime = defaultIdleTimeout): OpenServer {
 	return fastify({
 		bodyLimit,
 		keepAliveTimeout: idleTime,
 		forceCloseConnections: 'idle',
 		exposeHeadRoutes: false,
-		http: {maxHeaderSize: mostHeaderBytes, headersTimeout: defaultHeadTime},
+		http: {maxHeaderSize: maxHeadBytes, headersTimeout: defaultHeadTimeout},
 	});
 }
 
@@ -64,7 +64,7 @@
 export const defaultBodyLimit = 4 * 1024 * 1024;
 
 /** Lets a caller go that falls silent within its body: its connection and what has come of the body would be kept for good. A slow caller is not silent. */
-function watchBodySilence(server: OpenServer): void {
+function limitBodyIdleTime(server: OpenServer): void {
 	server.addHook('onRequest', (request, _reply, done) => {
 		request.raw.setTimeout(server.server.keepAliveTimeout);
 		done();
@@ -87,7 +87,7 @@
 		const kind = error.statusCode === 413 ? 'body_too_large' : 'invalid_request';
 		sendFailure(new HttpSink(reply.raw, () => true), context.wire, createFailure(kind, error.message), undefined);
 	});
-	watchBodySilence(server);
+	limitBodyIdleTime(server);
 	const serve = async (request: FastifyRequest, reply: FastifyReply) => {
 		void reply.hijack();
 		const sink = new HttpSink(reply.raw, context.isStopping);
@@ -106,7 +106,7 @@
 
 /** Opens the listener that says whether the node is ready. */
 export async function openReadyServer(address: string, wire: GatewayWire, isReady: () => boolean): Promise<OpenServer> {
-	const server = createServer(mostHeaderBytes);
+	const server = createServer(maxHeadBytes);
 	server.get(wire.readyPath, async (_request, reply) => reply.code(isReady() ? 200 : 503).send());
 	return listen(server, address);
 }
@@ -116,9 +116,9 @@
 
 /** Opens the listener that says which addresses to use. */
 export async function openAddressServer(address: string, wire: GatewayWire, listAddresses: (zone: AvailabilityZone) => AddressList): Promise<OpenServer> {
-	const server = createServer(mostHeaderBytes);
+	const server = createServer(maxHeadBytes);
 	server.get(wire.addressPath, async (request, reply) => {
-		const {addresses, lifetime} = listAddresses(wire.readAddressZone(request.query as Record<string, string | undefined>));
+		const {addresses, lifetime} = listAddresses(wire.readCallerZone(request.query as Record<string, string | undefined>));
 		if (addresses.length === 0) {
 			return reply.code(503).send();
 		}
@@ -130,7 +130,7 @@
 
 /** Opens the listener for other nodes. */
 export async function openPeersServer(address: string, service: PeerService): Promise<OpenServer> {
-	const server = createServer(mostPeerBytes, peerIdleTime);
+	const server = createServer(maxPeerMessageBytes, peerIdleTimeout);
 	await server.register(fastifyTRPCPlugin, {
 		prefix: rpcPath,
 		trpcOptions: {router: peerRouter, createContext: () => ({service})},
@@ -140,7 +140,7 @@
 
 /** Opens the listener for metrics, and beside them how the node stands. */
 export async function openMetricsServer(address: string, metrics: GatewayMetrics, formatStatus: () => string): Promise<OpenServer> {
-	const server = createServer(mostHeaderBytes);
+	const server = createServer(maxHeadBytes);
 	server.get('/metrics', async (_request, reply) => reply.type(metrics.contentType).send(await metrics.formatText()));
 	server.get(statusPath, async (_request, reply) => reply.type('application/json').send(formatStatus()));
 	return listen(server, address);
--- a/src/gateway/settings-change.ts
+++ b/src/gateway/settings-change.ts
@@ -7,7 +7,7 @@
  * The others are what a node is to the rest of the fleet, or what listeners were opened and
  * memory was counted by: `retry.window_seconds` too, since what lies further back than the old window is forgotten.
  */
-const takenKeys = new Set(['address_lifetime_seconds', 'log.level', 'retry.ratio', 'retry.slack', 'seeds', 'stop.grace_seconds']);
+const reloadableKeys = new Set(['address_lifetime_seconds', 'log.level', 'retry.ratio', 'retry.slack', 'seeds', 'stop.grace_seconds']);
 
 /** A change of settings. */
 export type SettingsChange = {
@@ -31,8 +31,8 @@
 			seeds: changed.seeds,
 			stop: changed.stop,
 		},
-		taken: differing.filter(key => takenKeys.has(key)),
-		waiting: differing.filter(key => !takenKeys.has(key)),
+		taken: differing.filter(key => reloadableKeys.has(key)),
+		waiting: differing.filter(key => !reloadableKeys.has(key)),
 	};
 }
 
--- a/src/gateway/settings-reloader.ts
+++ b/src/gateway/settings-reloader.ts
@@ -6,7 +6,7 @@
 import type {SettingsChange} from './settings-change.js';
 
 /** Pause between two looks at the file, in milliseconds: a change counts when two looks in a row find the same, since a file may be written in parts. */
-const lookPause = 2000;
+const pollInterval = 2000;
 
 /** What a reloader needs. */
 export type SettingsReloaderParts = {
@@ -22,7 +22,7 @@
 export class SettingsReloader {
 	readonly #parts: SettingsReloaderParts;
 	/** The file as it was read last, so that a change that a signal has told of is not told again. */
-	#inForce: string | undefined;
+	#appliedStamp: string | undefined;
 
 	constructor(parts: SettingsReloaderParts) {
 		this.#parts = parts;
@@ -30,7 +30,7 @@
 
 	/** Reads the file and takes over what can be; a wrong file changes nothing. */
 	async reload(cause: 'signal' | 'file'): Promise<void> {
-		this.#inForce = await this.#mark();
+		this.#appliedStamp = await this.#readStamp();
 		const loaded = await loadGatewaySettings(this.#parts.path);
 		loaded.caseOf({
 			Left: problems => {
@@ -39,30 +39,30 @@
 				}, 'the changed settings file is wrong; the old settings stay in force');
 			},
 			Right: changed => {
-				this.#take(changed, cause);
+				this.#applyChange(changed, cause);
 			},
 		});
 	}
 
 	/** Looks at the file until the signal is aborted. A file that is gone is no change: it may be put in place again. */
 	async watch(signal: AbortSignal): Promise<void> {
-		this.#inForce = await this.#mark();
-		let seen = this.#inForce;
+		this.#appliedStamp = await this.#readStamp();
+		let previous = this.#appliedStamp;
 		while (!signal.aborted) {
-			await waitFor(this.#parts.clock, lookPause, signal);
-			const mark = await this.#mark();
-			if (mark !== undefined && mark === seen && mark !== this.#inForce && !signal.aborted) {
+			await waitFor(this.#parts.clock, pollInterval, signal);
+			const stamp = await this.#readStamp();
+			if (stamp !== undefined && stamp === previous && stamp !== this.#appliedStamp && !signal.aborted) {
 				await this.reload('file');
 			}
 
-			seen = mark;
+			previous = stamp;
 		}
 	}
 
-	#take(changed: GatewaySettings, cause: 'signal' | 'file'): void {
+	#applyChange(changed: GatewaySettings, cause: 'signal' | 'file'): void {
 		const {logger, compare, change} = this.#parts;
 		const {taken, waiting} = compare(changed);
-		const tell = () => {
+		const logReload = () => {
 			logger.info({
 				event: 'reloaded', cause, taken, waiting,
 			}, describeReload(taken, waiting));
@@ -70,15 +70,15 @@
 
 		// The level itself may be what changes: the line is written at the one that shows it.
 		if (logger.isLevelEnabled('info')) {
-			tell();
+			logReload();
 			change(changed);
 		} else {
 			change(changed);
-			tell();
+			logReload();
 		}
 	}
 
-	async #mark(): Promise<string | undefined> {
+	async #readStamp(): Promise<string | undefined> {
 		try {
 			const {mtimeMs, size, ino} = await stat(this.#parts.path);
 			return `${mtimeMs} ${size} ${ino}`;
--- a/src/gateway/views/config-lag.ts
+++ b/src/gateway/views/config-lag.ts
@@ -3,29 +3,29 @@
 /** Versions that were heard of and are newer than the own one. */
 export class ConfigLag {
 	/** When each was first heard of, by the clock, in the order of the versions. */
-	readonly #heard = new Map<number, number>();
+	readonly #firstSeen = new Map<number, number>();
 
 	/** The newest version that was heard of; 0 before the first. */
 	get newest(): number {
-		return [...this.#heard.keys()].at(-1) ?? 0;
+		return [...this.#firstSeen.keys()].at(-1) ?? 0;
 	}
 
 	/** Takes the version that another node tells. */
-	hear(version: number, now: number): void {
+	observe(version: number, now: number): void {
 		if (version > this.newest) {
-			this.#heard.set(version, now);
+			this.#firstSeen.set(version, now);
 		}
 	}
 
 	/** Time since a version newer than the own one was first heard of, in milliseconds; 0 when there is none. */
 	measure(own: number, now: number): number {
-		const first = [...this.#heard].find(([version]) => version > own);
-		for (const version of [...this.#heard.keys()].slice(0, -1)) {
+		const oldestNewer = [...this.#firstSeen].find(([version]) => version > own);
+		for (const version of [...this.#firstSeen.keys()].slice(0, -1)) {
 			if (version <= own) {
-				this.#heard.delete(version);
+				this.#firstSeen.delete(version);
 			}
 		}
 
-		return first === undefined ? 0 : now - first[1];
+		return oldestNewer === undefined ? 0 : now - oldestNewer[1];
 	}
 }
--- a/src/gateway/views/registration.ts
+++ b/src/gateway/views/registration.ts
@@ -8,14 +8,14 @@
 import type {ViewExchange} from './view-exchange.js';
 
 /** Time for which a node waits to be heard by those that it was told of before it looks others up, in milliseconds. */
-const registerAfter = 1500;
+const registerDelay = 1500;
 
 /** Pause before registering again after a failure, and between looks at whether this node is to register, in milliseconds. */
-const registerPause = 1000;
+const registerInterval = 1000;
 
 /** Time for the answers of a try, in milliseconds: doubled with each one that fails, up to a longest, since a source may be slow. */
 const firstTimeout = 1200;
-const longestTimeout = 9600;
+const maxTimeout = 9600;
 
 /** What registering needs. */
 export type RegistrationParts = {
@@ -35,22 +35,22 @@
 export async function register(parts: RegistrationParts, signal: AbortSignal): Promise<void> {
 	const {clock, views, peers} = parts;
 	let timeout = firstTimeout;
-	await waitFor(clock, registerAfter, signal);
+	await waitFor(clock, registerDelay, signal);
 	while (!signal.aborted) {
 		const mayRegister = views.isWatcher || peers.countLive() === 0;
 		if (mayRegister) {
-			if (await registerWithin(parts, timeout, signal)) {
+			if (await registerWithTimeout(parts, timeout, signal)) {
 				return;
 			}
 
-			timeout = Math.min(longestTimeout, timeout * 2);
+			timeout = Math.min(maxTimeout, timeout * 2);
 		}
 
-		await waitFor(clock, registerPause, signal);
+		await waitFor(clock, registerInterval, signal);
 	}
 }
 
-async function registerWithin(parts: RegistrationParts, timeout: number, signal: AbortSignal): Promise<boolean> {
+async function registerWithTimeout(parts: RegistrationParts, timeout: number, signal: AbortSignal): Promise<boolean> {
 	const limit = createTimeout(parts.clock, timeout, signal);
 	// A try that follows one without an answer takes another connection.
 	const call = {signal: limit.signal, isOnNewConnection: timeout > firstTimeout, onData() {}}; // eslint-disable-line @typescript-eslint/no-empty-function
--- a/src/gateway/views/view-exchange.ts
+++ b/src/gateway/views/view-exchange.ts
@@ -15,29 +15,29 @@
 import type {PeerClients} from '../peers/peer-rpc.js';
 import type {Peers} from '../peers/peers.js';
 import {ConfigLag} from './config-lag.js';
-import {ViewQuestions, type ViewQuestion, type ViewQuestionParts} from './view-questions.js';
+import {ViewFetcher, type ViewRequest, type ViewFetcherParts} from './view-fetcher.js';
 import {chooseWatchers} from './watchers.js';
 
 /** Letters of a digest: enough that two views of thousands are not alike by chance. */
 const digestLength = 12;
 
 /** Time for which a node of a fleet that starts for the first time waits for the view of those that it was told of, in milliseconds: callers come many seconds later, and one call to the source by each of hundreds has a price. */
-const firstPatience = 4000;
+const firstStartWait = 4000;
 
 /** Least time between two questions meanwhile, in milliseconds: servers come one by one then. */
-const firstPause = 1000;
+const firstStartMinInterval = 1000;
 
 /** Time after its start for which a node that knows the fleet does not follow the source yet, in milliseconds: by then it has heard who does. Of hundreds that start again together a few go on to ask. */
-const settleTime = 1000;
+const restartDelay = 1000;
 
 /** Time for which a node that is to follow the source goes on without an answer, in milliseconds: others try meanwhile, and it may be slow. */
-const leastTurn = 300;
+const minWatchTime = 300;
 
 /** Age of the last answers up to which a node says that it hears the source, in milliseconds: the wait of a call, and what may come on top. */
-const hearingAge = 2500;
+const maxAnswerAge = 2500;
 
 /** Time for which a newer configuration is known of before a line says so, in milliseconds: the bound for a change. */
-const reportedLag = 1000;
+const lagLogThreshold = 1000;
 
 /** What the exchange needs. */
 export type ViewExchangeParts = {
@@ -51,43 +51,43 @@
 	/** What the followers of this node are told. */
 	health: SourceHealth;
 	/** Called when a question was silent for so long that another node was asked. */
-	onSilent: (part: ViewPart) => void;
+	onStalled: (part: ViewPart) => void;
 };
 
 /** A node's view beside those of the others. */
 export class ViewExchange {
 	readonly #parts: ViewExchangeParts;
-	readonly #servers: ViewQuestions;
-	readonly #config: ViewQuestions;
+	readonly #serversFetcher: ViewFetcher;
+	readonly #configFetcher: ViewFetcher;
 	readonly #lag = new ConfigLag();
-	#view: Omit<PeerView, 'sourceAges'> | undefined;
-	#reportedVersion = 0;
+	#cachedView: Omit<PeerView, 'sourceAges'> | undefined;
+	#loggedVersion = 0;
 	#isWatcher: boolean;
 	/** When its turn to follow began, by the monotonic clock. */
-	#watchesSince = -Infinity;
-	readonly #patientUntil: number;
-	readonly #settledAt: number;
+	#watchingSince = -Infinity;
+	readonly #firstStartWaitUntil: number;
+	readonly #restartDelayUntil: number;
 	/** Until when this node goes on to ask though it had no answer yet. */
-	#turnEndsAt = -Infinity;
+	#minWatchUntil = -Infinity;
 	/** Nodes that heard the source. */
-	#hearing = new Set<BoxId>();
-	#chosenAt: {revision: number; isReachable: boolean; isInTurn: boolean} | undefined;
+	#sourceHearers = new Set<BoxId>();
+	#lastChoice: {revision: number; isReachable: boolean; isInTurn: boolean} | undefined;
 
 	constructor(parts: ViewExchangeParts) {
 		this.#parts = parts;
 		this.#isWatcher = !parts.isFirstStart;
-		this.#settledAt = parts.clock.readMonotonic() + settleTime;
-		this.#patientUntil = parts.isFirstStart ? parts.clock.readMonotonic() + firstPatience : -Infinity;
-		this.#servers = this.#createQuestions('servers', {
-			isAhead: view => this.#hasServers(view),
-			ask: async (peer, question) => this.#askServers(peer, question),
+		this.#restartDelayUntil = parts.clock.readMonotonic() + restartDelay;
+		this.#firstStartWaitUntil = parts.isFirstStart ? parts.clock.readMonotonic() + firstStartWait : -Infinity;
+		this.#serversFetcher = this.#createFetcher('servers', {
+			isAhead: view => this.#hasNewerServers(view),
+			ask: async (peer, question) => this.#fetchServers(peer, question),
 		});
-		this.#config = this.#createQuestions('config', {
+		this.#configFetcher = this.#createFetcher('config', {
 			isAhead: view => view.configVersion > parts.state.configVersion,
-			ask: async (peer, question) => this.#askConfig(peer, question),
+			ask: async (peer, question) => this.#fetchConfig(peer, question),
 		});
 		parts.state.addListener(() => {
-			this.#view = undefined;
+			this.#cachedView = undefined;
 		});
 	}
 
@@ -98,62 +98,62 @@
 
 	/** Whether this node asks the source itself: a watcher does, and any node that knows too little to serve. */
 	get asksSource(): boolean {
-		return this.#parts.state.isUsable ? this.#isWatcher && this.#isSettled : !this.#isPatient;
+		return this.#parts.state.isUsable ? this.#isWatcher && this.#isPastRestartDelay : !this.#isFirstStartWaiting;
 	}
 
 	/** Whether this node follows the source and has had recent answers in its present turn. */
 	get hearsSource(): boolean {
 		const {state, clock} = this.#parts;
-		const oldest = Math.min(hearingAge, clock.readMonotonic() - this.#watchesSince);
+		const oldest = Math.min(maxAnswerAge, clock.readMonotonic() - this.#watchingSince);
 		return this.#isWatcher && state.isSourceReachable
 			&& followedKinds.every(kind => (state.sourceAgeTracker.measureLocalAge(kind) ?? Infinity) < oldest);
 	}
 
-	get #isSettled(): boolean {
-		return this.#parts.clock.readMonotonic() >= this.#settledAt;
+	get #isPastRestartDelay(): boolean {
+		return this.#parts.clock.readMonotonic() >= this.#restartDelayUntil;
 	}
 
-	get #isPatient(): boolean {
-		return this.#parts.clock.readMonotonic() < this.#patientUntil;
+	get #isFirstStartWaiting(): boolean {
+		return this.#parts.clock.readMonotonic() < this.#firstStartWaitUntil;
 	}
 
 	/** How new this node's view is. */
 	describeView(): PeerView {
 		const {state} = this.#parts;
-		this.#view ??= {
+		this.#cachedView ??= {
 			configVersion: state.configVersion,
 			serversRevision: state.serversRevision,
 			serversDigest: computeDigest(state.describeServers(), digestLength),
 		};
-		return {...this.#view, sourceAges: state.sourceAgeTracker.measureFleetAges()};
+		return {...this.#cachedView, sourceAges: state.sourceAgeTracker.measureFleetAges()};
 	}
 
 	/** Works out anew who follows the source, when something has changed. */
 	chooseWatchers(peers: Peers): void {
 		this.#parts.state.setFleetSize(peers.countLive() + 1);
 		const self = this.#parts.self();
-		if (this.#isPatient) {
+		if (this.#isFirstStartWaiting) {
 			return;
 		}
 
 		const {revision} = peers;
 		const isReachable = self.isSourceReachable;
 		const now = this.#parts.clock.readMonotonic();
-		const isInTurn = now < this.#turnEndsAt;
-		if (this.#chosenAt?.revision === revision && this.#chosenAt.isReachable === isReachable && this.#chosenAt.isInTurn === isInTurn) {
+		const isInTurn = now < this.#minWatchUntil;
+		if (this.#lastChoice?.revision === revision && this.#lastChoice.isReachable === isReachable && this.#lastChoice.isInTurn === isInTurn) {
 			return;
 		}
 
-		this.#chosenAt = {revision, isReachable, isInTurn};
+		this.#lastChoice = {revision, isReachable, isInTurn};
 		const live = peers.listLive();
-		this.#noticeLoss(live);
+		this.#detectSourceLoss(live);
 		const watchers = chooseWatchers([self, ...live]);
 		const isWatcher = watchers.some(node => node.name === self.name) || (this.#isWatcher && isInTurn && !isReachable);
 		if (isWatcher !== this.#isWatcher) {
 			this.#isWatcher = isWatcher;
 			if (isWatcher) {
-				this.#watchesSince = now;
-				this.#turnEndsAt = now + leastTurn;
+				this.#watchingSince = now;
+				this.#minWatchUntil = now + minWatchTime;
 				this.#parts.health.notifyAssigned();
 			}
 
@@ -163,21 +163,21 @@
 
 	/** Takes what another node knows and this one does not: servers and configuration each by questions of their own. */
 	compareView(peer: Peer, view: PeerView): void {
-		const pause = this.#isPatient ? firstPause : undefined;
-		this.#lag.hear(view.configVersion, this.#parts.clock.readMonotonic());
+		const pause = this.#isFirstStartWaiting ? firstStartMinInterval : undefined;
+		this.#lag.observe(view.configVersion, this.#parts.clock.readMonotonic());
 		this.#parts.state.sourceAgeTracker.mergeAges(view.sourceAges);
-		this.#servers.hear(peer, view, pause);
-		this.#config.hear(peer, view, pause);
+		this.#serversFetcher.observe(peer, view, pause);
+		this.#configFetcher.observe(peer, view, pause);
 	}
 
 	/** For how long this node has known of a newer configuration than its own, in milliseconds; logged when it is long. */
 	reportLag(): number {
 		const {clock, state, logger} = this.#parts;
 		const lag = this.#lag.measure(state.configVersion, clock.readMonotonic());
-		if (lag > reportedLag && this.#reportedVersion !== this.#lag.newest) {
-			this.#reportedVersion = this.#lag.newest;
+		if (lag > lagLogThreshold && this.#loggedVersion !== this.#lag.newest) {
+			this.#loggedVersion = this.#lag.newest;
 			logger.warn({
-				event: 'config_behind', version: state.configVersion, newest: this.#lag.newest, behind: Math.round(lag), asked: this.#config.asked,
+				event: 'config_behind', version: state.configVersion, newest: this.#lag.newest, behind: Math.round(lag), asked: this.#configFetcher.pendingNodes,
 			}, 'this node has heard of a newer configuration and does not have it yet');
 		}
 
@@ -185,52 +185,52 @@
 	}
 
 	/** The source may have fallen silent to several followers at once, and the calls of some wait for long: one that has noticed is a reason to look for all. */
-	#noticeLoss(live: Peer[]): void {
-		const hasLost = live.some(peer => !peer.isSourceReachable && this.#hearing.has(peer.name));
-		this.#hearing = new Set(live.filter(peer => peer.hearsSource).map(peer => peer.name));
-		if (hasLost) {
+	#detectSourceLoss(live: Peer[]): void {
+		const hasLostSource = live.some(peer => !peer.isSourceReachable && this.#sourceHearers.has(peer.name));
+		this.#sourceHearers = new Set(live.filter(peer => peer.hearsSource).map(peer => peer.name));
+		if (hasLostSource) {
 			this.#parts.health.notifySuspected();
 		}
 	}
 
 	/** Whether a node with this view knows servers that this one does not. */
-	#hasServers(view: PeerView): boolean {
+	#hasNewerServers(view: PeerView): boolean {
 		const own = this.describeView();
 		return view.serversRevision > own.serversRevision && view.serversDigest !== own.serversDigest;
 	}
 
-	#createQuestions(part: ViewPart, how: Pick<ViewQuestionParts, 'isAhead' | 'ask'>): ViewQuestions {
-		return new ViewQuestions({
-			...how,
+	#createFetcher(part: ViewPart, options: Pick<ViewFetcherParts, 'isAhead' | 'ask'>): ViewFetcher {
+		return new ViewFetcher({
+			...options,
 			clock: this.#parts.clock,
-			onSilent: (node, silentFor) => {
-				this.#parts.onSilent(part);
+			onStalled: (node, silentFor) => {
+				this.#parts.onStalled(part);
 				this.#parts.logger.warn({event: `${part}_missed`, node, silentFor}, 'another node is ahead and silent; one that is ahead is asked beside it');
 			},
 		});
 	}
 
-	async #askServers(peer: Peer, question: ViewQuestion): Promise<void> {
+	async #fetchServers(peer: Peer, question: ViewRequest): Promise<void> {
 		const revision = this.#parts.state.serversRevision;
 		const answer = await this.#parts.clients.askAfresh(peer.peerAddress, {...question, call: async (client, signal) => client.takeServers.query({revision}, {signal})});
-		this.#take(peer.name, {part: 'servers', answer, isWanted: !question.signal.aborted}, text => {
+		this.#applyAnswer(peer.name, {part: 'servers', answer, isWanted: !question.signal.aborted}, text => {
 			this.#parts.state.applyServers(parsePacked<ServersSnapshot>(text), `node ${peer.name}`);
 		});
 	}
 
-	async #askConfig(peer: Peer, question: ViewQuestion): Promise<void> {
+	async #fetchConfig(peer: Peer, question: ViewRequest): Promise<void> {
 		const version = this.#parts.state.configVersion;
 		const answer = await this.#parts.clients.askAfresh(peer.peerAddress, {...question, call: async (client, signal) => client.takeConfig.query({version}, {signal})});
-		this.#take(peer.name, {part: 'config', answer, isWanted: !question.signal.aborted}, text => {
-			const told = parsePacked<ConfigChanges>(text);
-			if (!this.#parts.state.applyConfigChanges(told, `node ${peer.name}`)) {
-				throw new RangeError(`version ${told.version} goes on from version ${told.from}, which is not remembered here`);
+		this.#applyAnswer(peer.name, {part: 'config', answer, isWanted: !question.signal.aborted}, text => {
+			const changes = parsePacked<ConfigChanges>(text);
+			if (!this.#parts.state.applyConfigChanges(changes, `node ${peer.name}`)) {
+				throw new RangeError(`version ${changes.version} goes on from version ${changes.from}, which is not remembered here`);
 			}
 		});
 	}
 
 	/** Takes an answer; nothing is told by a node that has fallen back meanwhile, in a new life. */
-	#take(node: BoxId, {part, answer, isWanted}: TakenAnswer, apply: (text: PackedText) => void): void {
+	#applyAnswer(node: BoxId, {part, answer, isWanted}: FetchedAnswer, apply: (text: PackedText) => void): void {
 		const {logger} = this.#parts;
 		answer.ifLeft(reason => {
 			if (isWanted) {
@@ -251,4 +251,4 @@
 /** A part of the view that is asked for by itself. */
 export type ViewPart = 'servers' | 'config';
 
-type TakenAnswer = {part: ViewPart; answer: Either<string, PackedText | undefined>; isWanted: boolean};
+type FetchedAnswer = {part: ViewPart; answer: Either<string, PackedText | undefined>; isWanted: boolean};
--- a/src/gateway/views/view-answers.ts
+++ b/src/gateway/views/view-responder.ts
@@ -8,11 +8,11 @@
 import {formatPacked, type PackedText} from '../../rpc/packed-text.js';
 
 /** Answers to nodes that are behind. */
-export class ViewAnswers {
+export class ViewResponder {
 	readonly #state: FleetState;
 	/** Texts of what changed up to the newest version, by the version they go on from: made once, not once for each who asks. */
-	readonly #configs = new Map<number, PackedText>();
-	#configsOf = 0;
+	readonly #packedChanges = new Map<number, PackedText>();
+	#packedVersion = 0;
 
 	constructor(state: FleetState) {
 		this.#state = state;
@@ -26,19 +26,19 @@
 
 	/** What changed in the configuration since the version known; undefined when nothing has. */
 	takeConfig({version}: {version: number}): PackedText | undefined {
-		if (this.#configsOf !== this.#state.configVersion) {
-			this.#configs.clear();
-			this.#configsOf = this.#state.configVersion;
+		if (this.#packedVersion !== this.#state.configVersion) {
+			this.#packedChanges.clear();
+			this.#packedVersion = this.#state.configVersion;
 		}
 
-		const known = this.#configs.get(version);
-		const changes = known === undefined ? this.#state.getConfigChanges(version) : undefined;
+		const cached = this.#packedChanges.get(version);
+		const changes = cached === undefined ? this.#state.getConfigChanges(version) : undefined;
 		if (changes === undefined) {
-			return known;
+			return cached;
 		}
 
 		const packed = formatPacked(changes);
-		this.#configs.set(version, packed);
+		this.#packedChanges.set(version, packed);
 		return packed;
 	}
 }
--- a/src/gateway/views/watchers.ts
+++ b/src/gateway/views/watchers.ts
@@ -12,10 +12,10 @@
 const watcherCount = 3;
 
 /** How many times as many nodes try the source next as have tried it in vain. */
-const waveGrowth = 2;
+const probeGrowth = 2;
 
 /** Nodes that begin to try the source at once, at most: it may be silent because it is slow. */
-const largestWave = 24;
+const maxProbes = 24;
 
 /**
  * The nodes that follow the source, out of all live ones.
@@ -26,15 +26,15 @@
 export function chooseWatchers(nodes: Peer[]): Peer[] {
 	const ordered = orderByRendezvous('source', nodes, node => node.name);
 	const first = ordered.slice(0, watcherCount);
-	const serving = first.filter(node => node.isSourceReachable).length;
-	if (serving === first.length) {
+	const reachableCount = first.filter(node => node.isSourceReachable).length;
+	if (reachableCount === first.length) {
 		return first;
 	}
 
 	const reachable = ordered.slice(watcherCount).filter(node => node.isSourceReachable);
-	const hearing = reachable.filter(node => node.hearsSource).slice(0, first.length - serving);
-	const idle = reachable.filter(node => !node.hearsSource);
-	const lost = ordered.filter(node => !node.isSourceReachable).length;
-	const wanted = serving + hearing.length > 0 ? first.length - serving - hearing.length : Math.min(largestWave, lost * waveGrowth);
-	return [...first, ...hearing, ...idle.slice(0, wanted)];
+	const hearing = reachable.filter(node => node.hearsSource).slice(0, first.length - reachableCount);
+	const candidates = reachable.filter(node => !node.hearsSource);
+	const unreachableCount = ordered.filter(node => !node.isSourceReachable).length;
+	const needed = reachableCount + hearing.length > 0 ? first.length - reachableCount - hearing.length : Math.min(maxProbes, unreachableCount * probeGrowth);
+	return [...first, ...hearing, ...candidates.slice(0, needed)];
 }
--- a/src/gateway/wire.ts
+++ b/src/gateway/wire.ts
@@ -33,7 +33,7 @@
 };
 
 /** What is sent along with a request to a backend server. */
-export type SendHead = {
+export type BackendRequestHead = {
 	call: CallHead;
 	serverName: BackendServerName;
 	organisation?: OrganisationId;
@@ -51,7 +51,7 @@
 export type HelperAddress = {address: string; reservation?: string};
 
 /** The head of a backend server's answer. */
-export type AnswerHead = {
+export type ResponseHead = {
 	status: number;
 	/** Id of the request that the answer belongs to; undefined when it does not say. */
 	requestId?: RequestId;
@@ -94,13 +94,13 @@
 	abstract readonly reportPath: string;
 
 	/** Reads the head of a caller's request. */
-	abstract readCall(method: string, target: string, headers: HeaderFields): Either<Failure, CallHead>;
+	abstract readCallHead(method: string, target: string, headers: HeaderFields): Either<Failure, CallHead>;
 
 	/** Writes the head of a request to a backend server. */
-	abstract formatSend(send: SendHead): Record<string, string | string[]>;
+	abstract formatBackendRequest(send: BackendRequestHead): Record<string, string | string[]>;
 
 	/** Reads the head of a backend server's answer. */
-	abstract readAnswer(status: number, headers: HeaderFields): AnswerHead;
+	abstract readResponseHead(status: number, headers: HeaderFields): ResponseHead;
 
 	/** Writes an order to a backend server. */
 	abstract formatOrder(order: ReservationOrder): OrderMessage;
@@ -112,7 +112,7 @@
 	abstract formatFailureHeaders(failure: Failure, requestId: RequestId | undefined): HeaderFields;
 
 	/** Availability zone of whoever asks for addresses. */
-	abstract readAddressZone(query: Record<string, string | undefined>): AvailabilityZone;
+	abstract readCallerZone(query: Record<string, string | undefined>): AvailabilityZone;
 
 	/** Body of the answer to such a question; `lifetime` in seconds. */
 	abstract formatAddresses(addresses: string[], lifetime: number): string;
--- a/test/config-lag.test.ts
+++ b/test/config-lag.test.ts
@@ -11,20 +11,20 @@
 test('a node is behind since it first heard of a version newer than its own', () => {
 	const lag = new ConfigLag();
 	expect(lag.measure(1, 0)).toBe(0);
-	lag.hear(1, 100);
-	lag.hear(3, 200);
-	lag.hear(3, 250);
-	lag.hear(5, 400);
-	lag.hear(2, 450);
+	lag.observe(1, 100);
+	lag.observe(3, 200);
+	lag.observe(3, 250);
+	lag.observe(5, 400);
+	lag.observe(2, 450);
 	expect([lag.measure(1, 500), lag.newest]).toEqual([300, 5]);
 	expect(lag.measure(3, 600)).toBe(200);
 	expect(lag.measure(5, 700)).toBe(0);
-	lag.hear(5, 800);
+	lag.observe(5, 800);
 	expect(lag.measure(5, 900)).toBe(0);
 });
 
 /** A node that is behind others, none of which answers. */
-function startBehind() {
+function createLaggingNode() {
 	const clock = new VirtualClock();
 	const memory = new LogCapture();
 	const logger = createLogger('info', memory);
@@ -39,7 +39,7 @@
 		self: () => createPeer('n0'),
 		isFirstStart: false,
 		health: new SourceHealth(),
-		onSilent(part) {
+		onStalled(part) {
 			silent.push(part);
 		},
 	});
@@ -53,26 +53,26 @@
 }
 
 test('a node that is over a second behind says so once for each version, and whom it asks', async () => {
-	const {clock, memory, exchange} = startBehind();
-	const listBehind = () => memory.listEvents('config_behind').map(({version, newest, behind, asked}) => ({
+	const {clock, memory, exchange} = createLaggingNode();
+	const listLagLines = () => memory.listEvents('config_behind').map(({version, newest, behind, asked}) => ({
 		version, newest, behind, asked,
 	}));
 	await advanceClock(clock, 990);
-	expect([exchange.reportLag(), listBehind()]).toEqual([990, []]);
+	expect([exchange.reportLag(), listLagLines()]).toEqual([990, []]);
 	await advanceClock(clock, 110);
 	expect([exchange.reportLag(), exchange.reportLag()]).toEqual([1100, 1100]);
-	expect(listBehind()).toEqual([{
+	expect(listLagLines()).toEqual([{
 		version: 1, newest: 2, behind: 1100, asked: ['n1', 'n1'],
 	}]);
 	exchange.compareView(createPeer('n2'), {
 		configVersion: 3, serversRevision: 0, serversDigest: '', sourceAges: {configuration: undefined, servers: undefined},
 	});
 	expect(exchange.reportLag()).toBe(1100);
-	expect(listBehind()).toHaveLength(2);
+	expect(listLagLines()).toHaveLength(2);
 });
 
 test('a node that is heard while another one is silent on two connections is asked at once', async () => {
-	const {clock, exchange, memory} = startBehind();
+	const {clock, exchange, memory} = createLaggingNode();
 	await advanceClock(clock, 1000);
 	exchange.compareView(createPeer('n2'), {
 		configVersion: 2, serversRevision: 0, serversDigest: '', sourceAges: {configuration: undefined, servers: undefined},
@@ -83,7 +83,7 @@
 });
 
 test('each question that is silent is counted and logged once, and asked beside; all end when the node has caught up', async () => {
-	const {clock, memory, state, exchange, silent} = startBehind();
+	const {clock, memory, state, exchange, silent} = createLaggingNode();
 	await advanceClock(clock, 350);
 	expect(silent).toEqual(['config', 'config']);
 	expect(memory.listEvents('config_missed').map(line => [line.node, line.silentFor])).toEqual([['n1', 100], ['n1', 200]]);
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -90,7 +90,7 @@
 
 async function sendStream(body: string, node: number, leaveAfter?: number): Promise<number> {
 	const {status} = await fleet.call({
-		path: '/stream/', body, leaveAfter, headers: {'cresshook-token-usage': '500,80'},
+		path: '/stream/', body, abortAfter: leaveAfter, headers: {'cresshook-token-usage': '500,80'},
 	}, node % fleet.settings.length);
 	return status;
 }
--- a/test/deadly-requests.test.ts
+++ b/test/deadly-requests.test.ts
@@ -4,7 +4,7 @@
 import {
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
-import {GatewayFleet, waitUntil, type SeenAnswer} from './helpers/gateways.js';
+import {GatewayFleet, waitUntil, type ReceivedResponse} from './helpers/gateways.js';
 import {pause} from './helpers/pause.js';
 import {formatEvent, createAnswerHeaders, type ServerBehaviour} from './helpers/platform-standins.js';
 
@@ -77,7 +77,7 @@
 async function callUntil(body: string, end: number, gap: number): Promise<number[]> {
 	const statuses: number[] = [];
 	for (let tried = 0; Date.now() < end; tried++) {
-		const {status, isWhole} = await fleet.call({path: '/stream/', body, headers: {'cresshook-token-usage': '500,80'}}, tried % fleet.settings.length);
+		const {status, isComplete: isWhole} = await fleet.call({path: '/stream/', body, headers: {'cresshook-token-usage': '500,80'}}, tried % fleet.settings.length);
 		statuses.push(isWhole ? status : 0);
 		await pause(gap);
 	}
@@ -92,7 +92,7 @@
 }
 
 /** Sends so many good bodies once each, the same ones each time. */
-async function callOnce(count: number): Promise<SeenAnswer[]> {
+async function callOnce(count: number): Promise<ReceivedResponse[]> {
 	return Promise.all(Array.from({length: count}, async (_, index) => fleet.call({path: '/stream/', body: `once ${index}`, headers: {'cresshook-token-usage': '500,80'}}, index % nodes)));
 }
 
@@ -205,5 +205,5 @@
 	}
 
 	const answers = await callOnce(12);
-	expect(answers.map(({status, isWhole}) => [status, isWhole])).toEqual(answers.map(() => [200, true]));
+	expect(answers.map(({status, isComplete: isWhole}) => [status, isWhole])).toEqual(answers.map(() => [200, true]));
 }, playLimit);
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -106,7 +106,7 @@
 	};
 
 	await fleet.start({runners: [{service: 'model', behaviour}]});
-	await fleet.call({path: '/stream/', headers: {'cresshook-attempt-id': 'waiting', 'cresshook-token-usage': '5000,80'}, leaveAfter: 600});
+	await fleet.call({path: '/stream/', headers: {'cresshook-attempt-id': 'waiting', 'cresshook-token-usage': '5000,80'}, abortAfter: 600});
 	const {verdict, cause} = await explain('waiting', await writeLogs(1));
 	expect(verdict).toBe('left by caller');
 	const silence = /^Its caller left after \d+ ms, after a first event at \d+ ms, in a silence of (?<silence>\d+) ms\.$/.exec(cause)?.groups?.silence;
@@ -123,7 +123,7 @@
 			},
 		}],
 	});
-	await fleet.call({path: '/once/', headers: {'cresshook-attempt-id': 'impatient'}, leaveAfter: 200});
+	await fleet.call({path: '/once/', headers: {'cresshook-attempt-id': 'impatient'}, abortAfter: 200});
 	const {cause, verdict} = await explain('impatient', await writeLogs(1));
 	expect(verdict).toBe('left by caller');
 	expect(cause).toMatch(/^Its caller left after \d+ ms, before a first event: it was placed at i-0 after 0 ms, its first event expected 0 ms later\.$/);
--- a/test/folders.test.ts
+++ b/test/folders.test.ts
@@ -18,22 +18,22 @@
 }
 
 /** Folders that lead back to themselves. */
-function listCircles(imports: Map<string, string[]>): string[] {
-	const reach = (from: string, seen: Set<string>): Set<string> => {
-		for (const next of imports.get(from) ?? []) {
+function listCycles(imports: Map<string, string[]>): string[] {
+	const collect = (folder: string, seen: Set<string>): Set<string> => {
+		for (const next of imports.get(folder) ?? []) {
 			if (!seen.has(next)) {
-				reach(next, seen.add(next));
+				collect(next, seen.add(next));
 			}
 		}
 
 		return seen;
 	};
 
-	return [...imports.keys()].filter(folder => reach(folder, new Set()).has(folder));
+	return [...imports.keys()].filter(folder => collect(folder, new Set()).has(folder));
 }
 
 test('no folder of the gateway imports what imports it', () => {
 	const imports = new Map(listFolders().map(folder => [folder, listImported(folder)]));
 	expect(imports.get('views')).toContain('peers');
-	expect(listCircles(imports)).toEqual([]);
+	expect(listCycles(imports)).toEqual([]);
 });
--- a/test/gateway-calls.test.ts
+++ b/test/gateway-calls.test.ts
@@ -3,7 +3,7 @@
 } from '@jest/globals';
 import type {ServiceName} from '../src/common/index.js';
 import {
-	createConfig, GatewayFleet, waitUntil, type SeenAnswer,
+	createConfig, GatewayFleet, waitUntil, type ReceivedResponse,
 } from './helpers/gateways.js';
 import {
 	createTextAnswer, decline, formatEvent, createAnswerHeaders, streamEvents, type ServerBehaviour, type ReceivedRequest,
@@ -35,7 +35,7 @@
 test('a request reaches a server unchanged, with the organisation for the key', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('tile')}]});
 	const answer = await fleet.call({path: '/once/a?b=1', body: 'hello', headers: {'x-own': 'kept', 'cresshook-tenant': 'forged'}});
-	expect([answer.status, answer.body, answer.isWhole, answer.headers['cresshook-response-seal']]).toEqual([200, 'tile', true, 'seal']);
+	expect([answer.status, answer.body, answer.isComplete, answer.headers['cresshook-response-seal']]).toEqual([200, 'tile', true, 'seal']);
 	const [seen] = fleet.runners[0].receivedRequests;
 	expect([seen.method, seen.url, seen.body]).toEqual(['POST', '/once/a?b=1', 'hello']);
 	expect(seen.headers).toMatchObject({'x-own': 'kept', 'cresshook-tenant': 'guild', 'cresshook-target-instance': 'i-0'});
@@ -91,7 +91,7 @@
 	await fleet.start({runners: [1, 2, 3, 4].map(() => ({service: 'model', behaviour: pauseOnce}))});
 	const answer = await fleet.call({path: '/stream/', headers: tokens});
 	// Its route allows three servers: two that fell silent were left, the third was not.
-	expect([answer.status, answer.isWhole]).toEqual([200, true]);
+	expect([answer.status, answer.isComplete]).toEqual([200, true]);
 	expect(answer.body).toBe([1, 2, 3, 4].map(id => formatEvent(id)).join(''));
 	const ids = fleet.runners.flatMap(runner => runner.receivedRequests).map(request => request.headers['cresshook-attempt-id']);
 	expect(ids).toEqual([ids[0], ids[0], ids[0]]);
@@ -102,7 +102,7 @@
 	await fleet.addGateway({retrySlack: 0});
 	await waitUntil(() => fleet.gateways[0].isReady);
 	const answer = await fleet.call({path: '/stream/', headers: tokens});
-	expect([answer.status, answer.isWhole, answer.body]).toEqual([200, true, [1, 2].map(id => formatEvent(id)).join('')]);
+	expect([answer.status, answer.isComplete, answer.body]).toEqual([200, true, [1, 2].map(id => formatEvent(id)).join('')]);
 	expect(fleet.runners.reduce((sum, runner) => sum + runner.receivedRequests.length, 0)).toBe(1);
 });
 
@@ -111,7 +111,7 @@
 test('a server that falls silent is waited for when no other one has a place', async () => {
 	await fleet.start({runners: [{service: 'model', behaviour: pauseOnce}]});
 	const answer = await fleet.call({path: '/stream/', headers: tokens});
-	expect([answer.status, answer.isWhole, answer.body]).toEqual([200, true, [1, 2].map(id => formatEvent(id)).join('')]);
+	expect([answer.status, answer.isComplete, answer.body]).toEqual([200, true, [1, 2].map(id => formatEvent(id)).join('')]);
 	expect(fleet.runners[0].receivedRequests).toHaveLength(1);
 });
 
@@ -133,11 +133,11 @@
 test('a stream stays with its silent server when the one that it could move to declines, is silent too or breaks off', async () => {
 	const answers = await Promise.all([decline, fallSilent, dropConnection].map(async behaviour => callBesideSilence(behaviour)));
 	const whole = [1, 2].map(id => formatEvent(id)).join('');
-	expect(answers.map(answer => [answer.status, answer.isWhole, answer.body])).toEqual([1, 2, 3].map(() => [200, true, whole]));
+	expect(answers.map(answer => [answer.status, answer.isComplete, answer.body])).toEqual([1, 2, 3].map(() => [200, true, whole]));
 });
 
 /** A stream of two events with a silence between them, whose server loses its entry at the first one. */
-async function streamWithoutEntry(silence: number, second: ServerBehaviour): Promise<{answer: SeenAnswer; took: number}> {
+async function streamWithoutEntry(silence: number, second: ServerBehaviour): Promise<{answer: ReceivedResponse; took: number}> {
 	const stall: ServerBehaviour = async (request, response) => {
 		response.writeHead(200, {...createAnswerHeaders(request), 'content-type': 'text/event-stream'});
 		response.write(formatEvent(1));
@@ -160,13 +160,13 @@
 for (const [name, second] of [['declines', decline], ['breaks off', dropConnection]] as const) {
 	test(`a stream is not cut for a silence of 3 s of a server without an entry when the one asked beside it ${name}`, async () => {
 		const {answer} = await streamWithoutEntry(3000, second);
-		expect([answer.status, answer.isWhole, answer.body]).toEqual([200, true, [1, 2].map(id => formatEvent(id)).join('')]);
+		expect([answer.status, answer.isComplete, answer.body]).toEqual([200, true, [1, 2].map(id => formatEvent(id)).join('')]);
 	}, 10_000);
 }
 
 test('a stream whose server without an entry says nothing more ends at the time limit of its route', async () => {
 	const {answer, took} = await streamWithoutEntry(20_000, decline);
-	expect([answer.isWhole, answer.body]).toEqual([false, formatEvent(1)]);
+	expect([answer.isComplete, answer.body]).toEqual([false, formatEvent(1)]);
 	// The time of the route is 5 s.
 	expect(took).toBeGreaterThanOrEqual(5000);
 	expect(took).toBeLessThan(5500);
@@ -184,7 +184,7 @@
 	fleet.store.put('config', 'main', createConfig(2, {limits: {idleTimeoutMs: 300, headerTimeoutMs: 300}}));
 	await waitUntil(() => fleet.gateways[0].state.configVersion === 2);
 	const answers = await Promise.all(['first', undefined].map(async body => fleet.call({path: '/once/', body})));
-	expect(answers.map(answer => [answer.status, answer.isWhole, answer.body])).toEqual([[200, true, 'late'], [200, true, 'late']]);
+	expect(answers.map(answer => [answer.status, answer.isComplete, answer.body])).toEqual([[200, true, 'late'], [200, true, 'late']]);
 });
 
 // Each of the calls that waited at a silent server took a retry out of the budget before it knew of a place to go to,
@@ -196,15 +196,15 @@
 	await fleet.addGateway({retrySlack: 6});
 	await waitUntil(() => fleet.gateways[0].isReady);
 	const silent = await fleet.call({path: '/stream/', headers: tokens});
-	expect(silent.isWhole).toBe(true);
+	expect(silent.isComplete).toBe(true);
 	await fleet.addRunner('model', inTurn);
 	await waitUntil(() => fleet.gateways[0].state.listServers('model' as ServiceName).length === 2);
 	const dropped = await fleet.call({path: '/stream/', headers: tokens});
-	expect([dropped.status, dropped.isWhole]).toEqual([200, true]);
+	expect([dropped.status, dropped.isComplete]).toEqual([200, true]);
 });
 
 /** Calls for a stream whose first server is silent for 1.7 s, beside another one. */
-async function callBesideSilence(behaviour: ServerBehaviour): Promise<SeenAnswer> {
+async function callBesideSilence(behaviour: ServerBehaviour): Promise<ReceivedResponse> {
 	const inTurn = answerInTurn(pauseOnce, behaviour);
 	const own = new GatewayFleet();
 	try {
@@ -231,7 +231,7 @@
 	fleet.putServer(0, 'model', 'ready', 1_733_000_000_000);
 	fleet.putServer(1, 'app', 'ready', 1_733_000_000_000);
 	const stream = await answers[0];
-	expect([stream.isWhole, stream.body]).toEqual([true, [1, 2].map(id => formatEvent(id)).join('')]);
+	expect([stream.isComplete, stream.body]).toEqual([true, [1, 2].map(id => formatEvent(id)).join('')]);
 	expect(Date.now() - started).toBeLessThan(1000);
 	const once = await answers[1];
 	expect([once.status, fleet.runners[3].receivedRequests.length]).toEqual([504, 0]);
@@ -288,7 +288,7 @@
 
 	const asked = {'cresshook-model': 'm', 'cresshook-token-usage': '154000,80', 'cresshook-prompt-prefix': '5c1e:154000'};
 	const answers = [await fleet.call({path: '/stream/', headers: asked}), await fleet.call({path: '/stream/', headers: asked})];
-	expect(answers.map(answer => [answer.status, answer.isWhole])).toEqual([[200, true], [200, true]]);
+	expect(answers.map(answer => [answer.status, answer.isComplete])).toEqual([[200, true], [200, true]]);
 	expect(fleet.runners.map(runner => runner.receivedRequests.length)).toEqual([3, 0, 0, 0]);
 });
 
@@ -339,7 +339,7 @@
 		}
 
 		const answer = await fleet.call({path: '/again/', method: 'GET'});
-		expect([answer.status, answer.body, answer.headers['cresshook-response-seal'], answer.isWhole]).toEqual([500, 'broken', 'seal', true]);
+		expect([answer.status, answer.body, answer.headers['cresshook-response-seal'], answer.isComplete]).toEqual([500, 'broken', 'seal', true]);
 	}
 });
 
@@ -382,7 +382,7 @@
 test('a stream is passed on event by event, unchanged', async () => {
 	await fleet.start({runners: [{service: 'model', behaviour: streamEvents(5)}]});
 	const answer = await fleet.call({path: '/stream/', headers: tokens});
-	expect([answer.status, answer.body, answer.isWhole]).toEqual([200, [1, 2, 3, 4, 5].map(id => formatEvent(id)).join(''), true]);
+	expect([answer.status, answer.body, answer.isComplete]).toEqual([200, [1, 2, 3, 4, 5].map(id => formatEvent(id)).join(''), true]);
 	expect(fleet.runners[0].receivedRequests[0].headers).toMatchObject(tokens);
 });
 
@@ -391,7 +391,7 @@
 	const breakFirst: ServerBehaviour = async (request, response, socket) => streamEvents(6, count++ === 0 ? 3 : Infinity)(request, response, socket);
 	await fleet.start({runners: [{service: 'model', behaviour: breakFirst}, {service: 'model', behaviour: breakFirst}]});
 	const answer = await fleet.call({path: '/stream/', headers: tokens});
-	expect([answer.body, answer.isWhole]).toEqual([[1, 2, 3, 4, 5, 6].map(id => formatEvent(id)).join(''), true]);
+	expect([answer.body, answer.isComplete]).toEqual([[1, 2, 3, 4, 5, 6].map(id => formatEvent(id)).join(''), true]);
 	const resumed = fleet.runners.flatMap(runner => runner.receivedRequests).find(seen => seen.headers['last-event-id'] !== undefined);
 	expect(resumed?.headers['last-event-id']).toBe('3');
 });
@@ -399,7 +399,7 @@
 test('a stream that no server can go on with does not look complete', async () => {
 	await fleet.start({runners: [1, 2, 3].map(() => ({service: 'model', behaviour: streamEvents(6, 2)}))});
 	const answer = await fleet.call({path: '/stream/', headers: tokens});
-	expect([answer.body, answer.isWhole]).toEqual([formatEvent(1) + formatEvent(2), false]);
+	expect([answer.body, answer.isComplete]).toEqual([formatEvent(1) + formatEvent(2), false]);
 });
 
 test('a silent server costs a stream a second, and another one answers', async () => {
@@ -413,7 +413,7 @@
 
 test('a caller that leaves stops the server that works for it', async () => {
 	await fleet.start({runners: [{service: 'model', behaviour() {}}]}); // eslint-disable-line @typescript-eslint/no-empty-function -- it never answers
-	await fleet.call({path: '/stream/', headers: tokens, leaveAfter: 200});
+	await fleet.call({path: '/stream/', headers: tokens, abortAfter: 200});
 	await waitUntil(() => fleet.runners[0].abandonedCount === 1, 500);
 });
 
@@ -464,7 +464,7 @@
 	await fleet.start({nodes: 0, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	fleet.store.trouble = 'slow';
 	await fleet.addGateway();
-	await fleet.call({path: '/once/', leaveAfter: 30});
+	await fleet.call({path: '/once/', abortAfter: 30});
 	await waitUntil(() => fleet.gateways[0].isReady);
 	expect(fleet.runners[0].receivedRequests).toHaveLength(0);
 });
@@ -496,7 +496,7 @@
 });
 
 /** Starts a node and a call that its runner answers after so many milliseconds; returns once the runner has it, with the answer to come. */
-async function startCall(answerAfter: number): Promise<{answer: Promise<SeenAnswer>}> {
+async function startCall(answerAfter: number): Promise<{answer: Promise<ReceivedResponse>}> {
 	await fleet.start({
 		runners: [{
 			service: 'app',
--- a/test/gateway-nodes.test.ts
+++ b/test/gateway-nodes.test.ts
@@ -43,7 +43,7 @@
 	const answers = await Promise.all([0, 1].flatMap(node => [
 		fleet.call({path: '/once/'}, node), fleet.call({path: '/stream/', headers: {'cresshook-token-usage': '5000,80'}}, node),
 	]));
-	expect(answers.map(answer => [answer.status, answer.isWhole])).toEqual([[200, true], [200, true], [200, true], [200, true]]);
+	expect(answers.map(answer => [answer.status, answer.isComplete])).toEqual([[200, true], [200, true], [200, true], [200, true]]);
 });
 
 test('a node that hears none of those it was told of does not send all calls to the first server', async () => {
@@ -108,7 +108,7 @@
 
 test('ten nodes that start together for the first time are ready by the view of the one that they were told of', async () => {
 	await fleet.start({nodes: 0, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
-	await fleet.startFirst(10);
+	await fleet.startTogether(10);
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.isReady && gateway.listReadyNodes().length === 10), 4000);
 	// A list of each kind and the watches of the one, its registration and its look at the others.
 	expect(fleet.store.calls.length).toBeLessThanOrEqual(8);
@@ -125,14 +125,14 @@
 
 test('a node that joins a running fleet lists once and leaves following and registering to others', async () => {
 	await fleet.start({nodes: 0, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
-	await fleet.startFirst(7);
+	await fleet.startTogether(7);
 	await waitUntil(areWatchersChosen, 8000);
 	const watchers = fleet.settings.filter((_, index) => fleet.gateways[index].isWatcher).map(settings => settings.box);
 	await waitUntil(() => watchers.every(name => fleet.store.listNames('cresshook-nodes').includes(name)), 3000);
 	// Each node that registers looks up the others once, right after it.
 	await waitUntil(() => fleet.store.calls.filter(call => call === 'GET /v1/objects/cresshook-nodes').length === fleet.store.listNames('cresshook-nodes').length, 1000);
 	const before = fleet.store.calls.length;
-	const joined = await fleet.joinFirst();
+	const joined = await fleet.addJoiningGateway();
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.listReadyNodes().length === 8), 3000);
 	await new Promise(resolve => {
 		setTimeout(resolve, 2500);
--- a/test/helpers/gateways.ts
+++ b/test/helpers/gateways.ts
@@ -52,12 +52,12 @@
 }
 
 /** An answer as a caller saw it. */
-export type SeenAnswer = {
+export type ReceivedResponse = {
 	status: number;
 	headers: Record<string, string | string[] | undefined>;
 	body: string;
 	/** Whether the answer ended as complete. */
-	isWhole: boolean;
+	isComplete: boolean;
 };
 
 /** A call of a test. */
@@ -67,11 +67,11 @@
 	headers?: Record<string, string>;
 	body?: string;
 	/** Closes the connection after so many milliseconds. */
-	leaveAfter?: number;
+	abortAfter?: number;
 };
 
 /** Where a node listens, and what it is told of the others. */
-type NodePlace = {
+type NodeOptions = {
 	index?: number;
 	ports?: number[];
 	host?: string;
@@ -126,22 +126,22 @@
 	}
 
 	/** Starts nodes together for the first time, each on a host of its own; all are told of the first one. */
-	async startFirst(count: number): Promise<void> {
+	async startTogether(count: number): Promise<void> {
 		this.#ports = await findFreePorts(6);
-		await Promise.all(Array.from({length: count}, async (_, index) => this.addGateway(this.#describePlace(index))));
+		await Promise.all(Array.from({length: count}, async (_, index) => this.addGateway(this.#describeNode(index))));
 	}
 
 	/** Starts one more node beside those of a first start. */
-	async joinFirst(): Promise<Gateway> {
-		return this.addGateway({...this.#describePlace(this.gateways.length), isFirstStart: false});
+	async addJoiningGateway(): Promise<Gateway> {
+		return this.addGateway({...this.#describeNode(this.gateways.length), isFirstStart: false});
 	}
 
 	/** Starts a node; one with seeds is part of a first start. */
-	async addGateway(place: NodePlace = {}): Promise<Gateway> {
+	async addGateway(options: NodeOptions = {}): Promise<Gateway> {
 		const {
 			index = this.gateways.length, host = processHost, seeds = [], isFirstStart = seeds.length > 0, retrySlack = 100, storeAddress = this.store.address,
-		} = place;
-		const ports = place.ports ?? await findFreePorts(6);
+		} = options;
+		const ports = options.ports ?? await findFreePorts(6);
 		const settings = parseGatewaySettings(`
 box = "edge-${index}"
 region = "r"
@@ -176,7 +176,7 @@
 	}
 
 	/** Makes a call at a node. */
-	async call(call: TestCall, node = 0): Promise<SeenAnswer> {
+	async call(call: TestCall, node = 0): Promise<ReceivedResponse> {
 		return send(this.settings[node].listen.callers, call);
 	}
 
@@ -186,7 +186,7 @@
 		await Promise.all([...this.runners, this.store].map(async standin => standin.stop()));
 	}
 
-	#describePlace(index: number): NodePlace {
+	#describeNode(index: number): NodeOptions {
 		return {
 			index, ports: this.#ports, host: `127.0.1.${index + 1}`, seeds: [`127.0.1.1:${this.#ports[3]}`],
 		};
@@ -194,11 +194,11 @@
 }
 
 /** Sends a request and reads what comes. */
-export async function send(address: string, call: TestCall): Promise<SeenAnswer> {
+export async function send(address: string, call: TestCall): Promise<ReceivedResponse> {
 	const [host, port] = address.split(':');
 	return new Promise(resolve => {
-		const answer: SeenAnswer = {
-			status: 0, headers: {}, body: '', isWhole: false,
+		const answer: ReceivedResponse = {
+			status: 0, headers: {}, body: '', isComplete: false,
 		};
 		const request = sendRequest({
 			host,
@@ -215,7 +215,7 @@
 				answer.body += String(chunk);
 			});
 			response.on('end', () => {
-				answer.isWhole = response.complete;
+				answer.isComplete = response.complete;
 				resolve(answer);
 			});
 			response.on('error', () => {
@@ -225,11 +225,11 @@
 		request.on('error', () => {
 			resolve(answer);
 		});
-		if (call.leaveAfter !== undefined) {
+		if (call.abortAfter !== undefined) {
 			setTimeout(() => {
 				request.destroy();
 				resolve(answer);
-			}, call.leaveAfter);
+			}, call.abortAfter);
 		}
 
 		request.end(call.body);
@@ -251,7 +251,7 @@
 }
 
 /** Ports that were given before: a heartbeat port is taken over UDP, which a look for a free TCP port does not see. */
-const givenPorts = new Set<number>();
+const usedPorts = new Set<number>();
 
 /** Finds free ports at this process's own address; no port is returned twice. */
 export async function findFreePorts(count: number): Promise<number[]> {
@@ -264,8 +264,8 @@
 		});
 		servers.push(server);
 		const {port} = server.address() as AddressInfo;
-		if (!givenPorts.has(port)) {
-			givenPorts.add(port);
+		if (!usedPorts.has(port)) {
+			usedPorts.add(port);
 			found.push(server);
 		}
 	}
--- a/test/helpers/linked-nodes.ts
+++ b/test/helpers/linked-nodes.ts
@@ -5,7 +5,7 @@
 import {PeerClients, PeerService} from '../../src/gateway/peers/peer-rpc.js';
 import {Peers, PeerSocket} from '../../src/gateway/peers/index.js';
 import {openPeersServer, type OpenServer} from '../../src/gateway/servers.js';
-import {ViewAnswers, ViewExchange} from '../../src/gateway/views/index.js';
+import {ViewResponder, ViewExchange} from '../../src/gateway/views/index.js';
 import {
 	FleetState, SourceHealth, type BackendServer, type RoutingConfig,
 } from '../../src/routing/index.js';
@@ -18,11 +18,11 @@
 
 /** Answers for views, and nothing else. */
 class ViewService extends PeerService {
-	readonly #answers: ViewAnswers;
+	readonly #answers: ViewResponder;
 
 	constructor(state: FleetState) {
 		super();
-		this.#answers = new ViewAnswers(state);
+		this.#answers = new ViewResponder(state);
 	}
 
 	override decide(): never {
@@ -76,7 +76,7 @@
 			life: this.name, availabilityZone: `zone-${index % 3}` as AvailabilityZone, peerAddress: this.link.address, beatAddress: `${host}:${ports[1]}`,
 		});
 		this.exchange = new ViewExchange({
-			clock: systemClock, logger, state: this.state, clients: this.#clients, self, isFirstStart: false, health: new SourceHealth(), onSilent() {}, // eslint-disable-line @typescript-eslint/no-empty-function
+			clock: systemClock, logger, state: this.state, clients: this.#clients, self, isFirstStart: false, health: new SourceHealth(), onStalled() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 		});
 		this.peers = new Peers({
 			clock: systemClock, logger, self, view: () => this.exchange.describeView(), random: Math.random,
--- a/test/helpers/store-fleet.ts
+++ b/test/helpers/store-fleet.ts
@@ -11,36 +11,36 @@
 	Follower, followTiming, ItemSource, type BackendServer, type Changes, type FollowCall, type FollowedKind, type Listing, type RoutingConfig, type SourceCall, type SourceFailure,
 } from '../../src/routing/index.js';
 import {
-	createModelServer, createRoutedConfig, createRoutes, ViewingFleet, type ViewingNode, type ViewingOptions,
+	createModelServer, createRoutedConfig, createRoutes, ViewFleet, type ViewFleetNode, type ViewFleetOptions,
 } from './viewing-fleet.js';
 
 /** Time of an answer of a store that is well, in milliseconds. */
-const quickAnswer = 4;
+const healthyAnswerTime = 4;
 
 /** An object of the store. */
 type StoredItem = {kind: FollowedKind; revision: number; item: RoutingConfig | BackendServer};
 
 /** Pause between looks at whether an answer that is held back may go, in milliseconds. */
-const heldPause = 10;
+const heldPollInterval = 10;
 
 /** Which nodes hear nothing, and on which kind. */
-export type Silence = {
+export type StoreOutage = {
 	nodes: ReadonlySet<number>;
 	kind?: FollowedKind;
 	/** Whether connections that are opened meanwhile are answered. */
-	keepsNew?: boolean;
+	isNewAnswered?: boolean;
 	/** Whether calls over connections that were open before are answered when it ends, in place of never. */
-	keepsCalls?: boolean;
+	isDeferring?: boolean;
 };
 
 /** A store that tells nodes apart. */
 export class SimulatedStore {
 	/** Time of each answer, in milliseconds. */
-	answerTime = quickAnswer;
+	answerTime = healthyAnswerTime;
 	/** Calls of all nodes. */
 	calls = 0;
 	/** Nodes that get no answer over connections that are open when the silence begins, and over new ones; all kinds, or one. */
-	readonly silences: Silence[] = [];
+	readonly outages: StoreOutage[] = [];
 	readonly #clock: Clock;
 	readonly #items: StoredItem[] = [];
 	readonly #wakers = new Set<() => void>();
@@ -71,13 +71,13 @@
 	}
 
 	/** Whether what a node asks on a kind is lost; `isNew` for a connection that was opened in the silence. */
-	isSilent(node: number, kind: FollowedKind, isNew: boolean): boolean {
-		return this.silences.some(silence => silence.nodes.has(node) && silence.keepsCalls !== true && (silence.kind ?? kind) === kind && !(isNew && silence.keepsNew === true));
+	isUnanswered(node: number, kind: FollowedKind, isNew: boolean): boolean {
+		return this.outages.some(outage => outage.nodes.has(node) && outage.isDeferring !== true && (outage.kind ?? kind) === kind && !(isNew && outage.isNewAnswered === true));
 	}
 
 	/** Whether answers to a node are held back for now. */
-	isHeld(node: number): boolean {
-		return this.silences.some(silence => silence.nodes.has(node) && silence.keepsCalls === true);
+	isDeferred(node: number): boolean {
+		return this.outages.some(outage => outage.nodes.has(node) && outage.isDeferring === true);
 	}
 
 	/** Waits for a change of a kind. */
@@ -112,11 +112,11 @@
 	readonly #kind: FollowedKind;
 	readonly #clock: Clock;
 	/** Connections opened so far, and the last one that went silent. */
-	#opened = 1;
-	#lost = 0;
+	#lastOpened = 1;
+	#lastStalled = 0;
 	/** The last connection that was open when a silence began that only holds answers back, and those opened in it. */
-	#held = 0;
-	readonly #lostOnes = new Set<number>();
+	#lastDeferred = 0;
+	readonly #stalledConnections = new Set<number>();
 
 	constructor(store: SimulatedStore, node: number, kind: FollowedKind, clock: Clock) {
 		super();
@@ -127,13 +127,13 @@
 	}
 
 	/** Notes that a silence begins: what is open now never speaks again. */
-	loseConnections(): void {
-		this.#lost = this.#opened;
+	stallConnections(): void {
+		this.#lastStalled = this.#lastOpened;
 	}
 
 	/** Notes that answers are held back from now on: what is open now speaks again later. */
-	holdConnections(): void {
-		this.#held = this.#opened;
+	deferConnections(): void {
+		this.#lastDeferred = this.#lastOpened;
 	}
 
 	override async list(call: SourceCall): Promise<Either<SourceFailure, Listing<Item>>> {
@@ -158,46 +158,46 @@
 	async #call<Answer>({signal, isOnNewConnection: isRepeated}: SourceCall, read: (ended: AbortSignal) => Promise<Answer>): Promise<Either<SourceFailure, Answer>> {
 		this.#store.calls++;
 		if (isRepeated) {
-			this.#opened++;
+			this.#lastOpened++;
 		}
 
-		const answer = await this.#answer(this.#opened, signal, read);
+		const answer = await this.#answer(this.#lastOpened, signal, read);
 		return answer === undefined ? Left({kind: 'unreachable', message: 'no answer in time'}) : Right(answer);
 	}
 
 	async #answer<Answer>(connection: number, signal: AbortSignal, read: (ended: AbortSignal) => Promise<Answer>): Promise<Answer | undefined> {
-		this.#loseSilent(connection);
+		this.#markStalled(connection);
 		const answer = await read(signal);
 		await waitFor(this.#clock, this.#store.answerTime, signal);
-		this.#loseSilent(connection);
-		while (!signal.aborted && (connection <= this.#lost || this.#lostOnes.has(connection) || this.#store.isHeld(this.#node))) {
-			await waitFor(this.#clock, heldPause, signal);
+		this.#markStalled(connection);
+		while (!signal.aborted && (connection <= this.#lastStalled || this.#stalledConnections.has(connection) || this.#store.isDeferred(this.#node))) {
+			await waitFor(this.#clock, heldPollInterval, signal);
 		}
 
 		return signal.aborted ? undefined : answer;
 	}
 
 	/** A connection over which something is asked in a silence never speaks again; of one that only holds answers back, those opened meanwhile. */
-	#loseSilent(connection: number): void {
-		if (this.#store.isSilent(this.#node, this.#kind, true)) {
-			this.#lost = Math.max(this.#lost, connection);
-		} else if (this.#store.isHeld(this.#node) && connection > this.#held) {
-			this.#lostOnes.add(connection);
+	#markStalled(connection: number): void {
+		if (this.#store.isUnanswered(this.#node, this.#kind, true)) {
+			this.#lastStalled = Math.max(this.#lastStalled, connection);
+		} else if (this.#store.isDeferred(this.#node) && connection > this.#lastDeferred) {
+			this.#stalledConnections.add(connection);
 		}
 	}
 }
 
 /** A node and its connections to the store. */
-type Following = {node: ViewingNode; sources: Array<SimulatedSource<unknown>>};
+type FollowingNode = {node: ViewFleetNode; sources: Array<SimulatedSource<unknown>>};
 
 /** A fleet whose nodes choose among themselves who follows the store. */
-export class StoreFleet extends ViewingFleet {
+export class StoreFleet extends ViewFleet {
 	readonly store: SimulatedStore;
-	readonly #following: Following[] = [];
-	readonly #stop = new AbortController();
+	readonly #followingNodes: FollowingNode[] = [];
+	readonly #stopController = new AbortController();
 	#version = 1;
 
-	constructor(options: ViewingOptions & {seed?: string}) {
+	constructor(options: ViewFleetOptions & {seed?: string}) {
 		super(options);
 		this.store = new SimulatedStore(this.clock);
 		for (const node of this.nodes) {
@@ -211,7 +211,7 @@
 	}
 
 	/** Lets all nodes find each other and the store, and settle on who follows it, for a time in milliseconds. */
-	async begin(time = 6000): Promise<this> {
+	async start(time = 6000): Promise<this> {
 		this.store.putConfig(this.#createConfig());
 		for (let index = 0; index < 5; index++) {
 			this.store.putServer(createModelServer(index));
@@ -235,32 +235,32 @@
 	}
 
 	/** The store leaves these nodes without answers until the function that is returned is called; what is open stays silent. */
-	silence(nodes: Iterable<number>, options: Omit<Silence, 'nodes'> = {}): () => void {
-		const silence = {nodes: new Set(nodes), ...options};
-		this.store.silences.push(silence);
-		for (const {node, sources} of this.#following) {
+	startOutage(nodes: Iterable<number>, options: Omit<StoreOutage, 'nodes'> = {}): () => void {
+		const outage = {nodes: new Set(nodes), ...options};
+		this.store.outages.push(outage);
+		for (const {node, sources} of this.#followingNodes) {
 			for (const [index, source] of sources.entries()) {
-				if (options.keepsCalls === true) {
-					source.holdConnections();
-				} else if (this.store.isSilent(node.index, index === 0 ? 'configuration' : 'servers', false)) {
-					source.loseConnections();
+				if (options.isDeferring === true) {
+					source.deferConnections();
+				} else if (this.store.isUnanswered(node.index, index === 0 ? 'configuration' : 'servers', false)) {
+					source.stallConnections();
 				}
 			}
 		}
 
 		return () => {
-			this.store.silences.splice(this.store.silences.indexOf(silence), 1);
+			this.store.outages.splice(this.store.outages.indexOf(outage), 1);
 		};
 	}
 
 	/** Lets everything end. */
-	async end(): Promise<void> {
-		this.#stop.abort();
+	async stop(): Promise<void> {
+		this.#stopController.abort();
 		await this.pass(50);
 	}
 
-	protected override beat(node: ViewingNode, hasNews: boolean): void {
-		super.beat(node, hasNews);
+	protected override sendHeartbeat(node: ViewFleetNode, hasNews: boolean): void {
+		super.sendHeartbeat(node, hasNews);
 		node.exchange.chooseWatchers(node.peers);
 	}
 
@@ -268,7 +268,7 @@
 		return createRoutedConfig(this.#version, createRoutes(this.#version));
 	}
 
-	#follow(node: ViewingNode, random: () => number): void {
+	#follow(node: ViewFleetNode, random: () => number): void {
 		const {clock} = this;
 		const {state, exchange, health} = node;
 		const logger = createSilentLogger();
@@ -308,9 +308,9 @@
 			}, {clock, logger, random}),
 		];
 		for (const follower of followers) {
-			void follower.run(this.#stop.signal);
+			void follower.run(this.#stopController.signal);
 		}
 
-		this.#following.push({node, sources: [configurations as SimulatedSource<unknown>, servers as SimulatedSource<unknown>]});
+		this.#followingNodes.push({node, sources: [configurations as SimulatedSource<unknown>, servers as SimulatedSource<unknown>]});
 	}
 }
--- a/test/helpers/viewing-fleet.ts
+++ b/test/helpers/viewing-fleet.ts
@@ -8,7 +8,7 @@
 import {decodeBeat, encodeBeat} from '../../src/gateway/peers/peer-beat.js';
 import type {FreshQuestion, PeerClients} from '../../src/gateway/peers/peer-rpc.js';
 import {heartbeatEvery, Peers, type OutgoingBeat} from '../../src/gateway/peers/peers.js';
-import {ViewAnswers, ViewExchange} from '../../src/gateway/views/index.js';
+import {ViewResponder, ViewExchange} from '../../src/gateway/views/index.js';
 import {
 	FleetState, SourceHealth, type BackendServer, type Route, type RoutingConfig,
 } from '../../src/routing/index.js';
@@ -16,22 +16,22 @@
 import {advanceClock} from './sources.js';
 
 /** Bytes a millisecond of a link of 14 Mbit/s: the narrowest of the boxes that are served. */
-const linkRate = 1750;
+const linkBytesPerMs = 1750;
 
 /** Time of a message on its way, in milliseconds. */
-const travelTime = 1.5;
+const latency = 1.5;
 
 /** Bytes of the heads of an answer. */
-const headBytes = 250;
+const responseHeadBytes = 250;
 
 /** Least time between two beats of a node, in milliseconds, as its socket has it. */
-const earlyBeatAfter = 20;
+const minHeartbeatInterval = 20;
 
 /** Time after a change at the source until its followers know it, one after the other, in milliseconds. */
 const followDelay = 20;
 
 /** What a fleet is made of. */
-export type ViewingOptions = {
+export type ViewFleetOptions = {
 	nodes: number;
 	/** Share of datagrams and answers that are lost. */
 	lossShare?: number;
@@ -40,25 +40,25 @@
 };
 
 /** One node of the fleet. */
-export type ViewingNode = {
+export type ViewFleetNode = {
 	index: number;
 	state: FleetState;
 	health: SourceHealth;
 	peers: Peers;
 	exchange: ViewExchange;
-	answers: ViewAnswers;
-	isDead: boolean;
+	answers: ViewResponder;
+	isStopped: boolean;
 	/** When its link has sent and taken what it is to send and take, by the clock. */
-	sentUntil: number;
-	takenUntil: number;
-	wantsBeat: boolean;
-	lastBeatAt: number;
+	uplinkBusyUntil: number;
+	downlinkBusyUntil: number;
+	isHeartbeatPending: boolean;
+	lastHeartbeatAt: number;
 };
 
 /** Routes of a configuration, of which `changed` differ between versions. */
-export function createRoutes(count: number, mark = ''): Route[] {
+export function createRoutes(count: number, suffix = ''): Route[] {
 	return Array.from({length: count}, (_, index) => ({
-		name: `route-${index}${index === 7 ? mark : ''}`,
+		name: `route-${index}${index === 7 ? suffix : ''}`,
 		host: `host${index % 5}.example`,
 		pathPrefix: `/lohu${index * 7919}/`,
 		kind: 'stream',
@@ -102,17 +102,17 @@
 }
 
 /** Nodes of three zones, all with links of the same width. */
-export class ViewingFleet {
+export class ViewFleet {
 	readonly clock = new VirtualClock();
-	readonly nodes: ViewingNode[] = [];
+	readonly nodes: ViewFleetNode[] = [];
 	/** Bytes of all answers to questions for views. */
 	answerBytes = 0;
-	#asked = 0;
-	#lostUntil = 0;
+	#requestCount = 0;
+	#lastStalledRequest = 0;
 	readonly #random = seedrandom('views');
-	readonly #options: ViewingOptions;
+	readonly #options: ViewFleetOptions;
 
-	constructor(options: ViewingOptions) {
+	constructor(options: ViewFleetOptions) {
 		this.#options = options;
 		for (let index = 0; index < options.nodes; index++) {
 			this.#addNode(index);
@@ -134,16 +134,16 @@
 		for (let passed = 0; passed < milliseconds; passed += stepTime) {
 			await advanceClock(this.clock, stepTime);
 			for (const node of this.nodes) {
-				this.#beatWhenDue(node);
+				this.#sendHeartbeatWhenDue(node);
 			}
 		}
 	}
 
 	/** Tells the nodes that follow the source of a change, one after the other. */
-	tellFollowers(tell: (state: FleetState) => void, followers = 3): void {
+	updateFollowers(update: (state: FleetState) => void, followers = 3): void {
 		for (const [order, node] of this.nodes.slice(0, followers).entries()) {
 			this.clock.setTimer((order + 1) * followDelay, () => {
-				tell(node.state);
+				update(node.state);
 			});
 		}
 	}
@@ -151,7 +151,7 @@
 	/** Time until a condition holds at all live nodes, in milliseconds; `limit` when it does not. */
 	async measure(holds: (state: FleetState) => boolean, limit: number): Promise<number> {
 		const began = this.clock.readMonotonic();
-		while (this.clock.readMonotonic() < began + limit && !this.nodes.every(node => node.isDead || holds(node.state))) {
+		while (this.clock.readMonotonic() < began + limit && !this.nodes.every(node => node.isStopped || holds(node.state))) {
 			await this.pass(stepTime);
 		}
 
@@ -159,13 +159,13 @@
 	}
 
 	/** Makes the connections silent over which nodes are asked at the moment; new ones work. */
-	loseConnections(): void {
-		this.#lostUntil = ++this.#asked;
+	stallConnections(): void {
+		this.#lastStalledRequest = ++this.#requestCount;
 	}
 
 	/** What a node does when it beats. */
-	protected beat(node: ViewingNode, hasNews: boolean): void {
-		for (const outgoing of node.peers.beat(hasNews)) {
+	protected sendHeartbeat(node: ViewFleetNode, hasChanges: boolean): void {
+		for (const outgoing of node.peers.beat(hasChanges)) {
 			this.#deliver(node, outgoing);
 		}
 	}
@@ -181,40 +181,40 @@
 			hearsSource: this.nodes[index]?.exchange.hearsSource ?? false,
 		});
 		const exchange = new ViewExchange({
-			clock, logger, state, clients: this.#createClients(index), self, isFirstStart: false, health, onSilent() {}, // eslint-disable-line @typescript-eslint/no-empty-function
+			clock, logger, state, clients: this.#createClients(index), self, isFirstStart: false, health, onStalled() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 		});
 		const peers = new Peers({
 			clock, logger, self, view: () => exchange.describeView(), random: this.#random,
 		});
 		peers.addCandidate('n0:3');
 		const node = {
-			index, state, health, peers, exchange, answers: new ViewAnswers(state), isDead: false, sentUntil: 0, takenUntil: 0, wantsBeat: false, lastBeatAt: -heartbeatEvery * this.#random(),
+			index, state, health, peers, exchange, answers: new ViewResponder(state), isStopped: false, uplinkBusyUntil: 0, downlinkBusyUntil: 0, isHeartbeatPending: false, lastHeartbeatAt: -heartbeatEvery * this.#random(),
 		};
 		peers.addViewListener((peer, view) => {
 			exchange.compareView(peer, view);
 		});
 		for (const addListener of [state.addListener.bind(state), peers.addChangeListener.bind(peers)]) {
 			addListener(() => {
-				node.wantsBeat = true;
+				node.isHeartbeatPending = true;
 			});
 		}
 
 		this.nodes.push(node);
 	}
 
-	#beatWhenDue(node: ViewingNode): void {
-		const since = this.clock.readMonotonic() - node.lastBeatAt;
-		if (node.isDead || since < (node.wantsBeat ? earlyBeatAfter : heartbeatEvery)) {
+	#sendHeartbeatWhenDue(node: ViewFleetNode): void {
+		const since = this.clock.readMonotonic() - node.lastHeartbeatAt;
+		if (node.isStopped || since < (node.isHeartbeatPending ? minHeartbeatInterval : heartbeatEvery)) {
 			return;
 		}
 
-		node.lastBeatAt = this.clock.readMonotonic();
-		const hasNews = node.wantsBeat;
-		node.wantsBeat = false;
-		this.beat(node, hasNews);
+		node.lastHeartbeatAt = this.clock.readMonotonic();
+		const hasChanges = node.isHeartbeatPending;
+		node.isHeartbeatPending = false;
+		this.sendHeartbeat(node, hasChanges);
 	}
 
-	#deliver(sender: ViewingNode, {beat, addresses}: OutgoingBeat): void {
+	#deliver(sender: ViewFleetNode, {beat, addresses}: OutgoingBeat): void {
 		const message = encodeBeat(beat);
 		for (const address of addresses) {
 			const receiver = this.#findNode(address);
@@ -222,8 +222,8 @@
 				continue;
 			}
 
-			this.clock.setTimer(travelTime + this.#findLateness(receiver), () => {
-				for (const answer of receiver.isDead ? [] : receiver.peers.accept(decodeBeat(message), `n${sender.index}:3`)) {
+			this.clock.setTimer(latency + this.#findExtraDelay(receiver), () => {
+				for (const answer of receiver.isStopped ? [] : receiver.peers.accept(decodeBeat(message), `n${sender.index}:3`)) {
 					this.#deliver(receiver, answer);
 				}
 			});
@@ -233,20 +233,20 @@
 	/** Calls of other nodes as the node's clients would make them: an answer takes its bytes' time on both links. */
 	#createClients(asking: number): PeerClients {
 		const askAfresh = async <Answer>(address: string, {call, longestSilence, signal}: FreshQuestion<Answer>): Promise<Either<string, Answer>> => {
-			const order = ++this.#asked;
+			const order = ++this.#requestCount;
 			const answer = async (): Promise<Either<string, Answer>> => {
 				const value = await call(this.#createClient(asking, address) as Parameters<typeof call>[0], signal);
-				return order > this.#lostUntil ? Right(value) : never();
+				return order > this.#lastStalledRequest ? Right(value) : never();
 			};
 
 			const ended = new AbortController();
-			const late = this.#fail(longestSilence, ended.signal);
-			const left = new Promise<Either<string, Answer>>(resolve => {
+			const idleTimeout = this.#failAfter(longestSilence, ended.signal);
+			const aborted = new Promise<Either<string, Answer>>(resolve => {
 				signal.addEventListener('abort', () => {
 					resolve(Left('left'));
 				});
 			});
-			const first = await Promise.race([answer(), late, left]);
+			const first = await Promise.race([answer(), idleTimeout, aborted]);
 			ended.abort();
 			return first;
 		};
@@ -254,35 +254,35 @@
 		return {askAfresh} as unknown as PeerClients;
 	}
 
-	async #fail(after: number, signal: AbortSignal): Promise<Either<string, never>> {
-		await waitFor(this.clock, after, signal);
+	async #failAfter(delay: number, signal: AbortSignal): Promise<Either<string, never>> {
+		await waitFor(this.clock, delay, signal);
 		return Left('silent');
 	}
 
 	/** Whatever a node is asked for its view, by the name of the question. */
 	#createClient(asking: number, address: string): unknown {
 		return new Proxy({}, {
-			get: (_, question: string) => ({
-				query: async (known: unknown) => this.#answer(asking, this.#findNode(address)!, question, known),
+			get: (_, procedure: string) => ({
+				query: async (known: unknown) => this.#answer(asking, this.#findNode(address)!, procedure, known),
 			}),
 		});
 	}
 
-	async #answer(asking: number, answering: ViewingNode, question: string, known: unknown): Promise<unknown> {
-		await this.#wait(travelTime + this.#findLateness(answering));
-		if (answering.isDead || this.#random() < (this.#options.lossShare ?? 0)) {
+	async #answer(asking: number, answering: ViewFleetNode, procedure: string, known: unknown): Promise<unknown> {
+		await this.#wait(latency + this.#findExtraDelay(answering));
+		if (answering.isStopped || this.#random() < (this.#options.lossShare ?? 0)) {
 			return never();
 		}
 
 		const answers = answering.answers as unknown as Record<string, (known: unknown) => unknown>;
-		const answer = answers[question](known);
-		const bytes = Buffer.byteLength(JSON.stringify(answer) ?? '') + headBytes;
+		const answer = answers[procedure](known);
+		const bytes = Buffer.byteLength(JSON.stringify(answer) ?? '') + responseHeadBytes;
 		this.answerBytes += bytes;
 		const asker = this.nodes[asking];
 		const now = this.clock.readMonotonic();
-		answering.sentUntil = Math.max(now, answering.sentUntil) + (bytes / linkRate);
-		asker.takenUntil = Math.max(now, asker.takenUntil) + (bytes / linkRate);
-		await this.#wait(travelTime + Math.max(answering.sentUntil, asker.takenUntil) - now);
+		answering.uplinkBusyUntil = Math.max(now, answering.uplinkBusyUntil) + (bytes / linkBytesPerMs);
+		asker.downlinkBusyUntil = Math.max(now, asker.downlinkBusyUntil) + (bytes / linkBytesPerMs);
+		await this.#wait(latency + Math.max(answering.uplinkBusyUntil, asker.downlinkBusyUntil) - now);
 		return answer;
 	}
 
@@ -292,11 +292,11 @@
 		});
 	}
 
-	#findLateness(node: ViewingNode): number {
+	#findExtraDelay(node: ViewFleetNode): number {
 		return this.#options.slowNodes?.get(node.index) ?? 0;
 	}
 
-	#findNode(address: string): ViewingNode | undefined {
+	#findNode(address: string): ViewFleetNode | undefined {
 		return this.nodes[Number(address.slice(1).split(':')[0])];
 	}
 }
--- a/test/limit-grants.test.ts
+++ b/test/limit-grants.test.ts
@@ -140,9 +140,9 @@
 	['1, 2', undefined],
 	['Infinity', undefined],
 ])('reads a server limit of "%s" as %p', (text, rate) => {
-	expect(new CallWire().readAnswer(200, {'server-limit': text}).requestLimit).toBe(rate);
+	expect(new CallWire().readResponseHead(200, {'server-limit': text}).requestLimit).toBe(rate);
 });
 
 test('an answer of another server at the address names no limit', () => {
-	expect(new CallWire().readAnswer(421, {'server-limit': '2'}).requestLimit).toBeUndefined();
+	expect(new CallWire().readResponseHead(421, {'server-limit': '2'}).requestLimit).toBeUndefined();
 });
--- a/test/lost-paths.test.ts
+++ b/test/lost-paths.test.ts
@@ -21,7 +21,7 @@
 const tokenInterval = 25;
 
 /** Time in which memory must be back, in milliseconds: the aim for work that nobody waits for. */
-const freeWithin = 10_000;
+const reclaimTime = 10_000;
 
 let fleet: TestFleet;
 
@@ -34,7 +34,7 @@
 });
 
 /** Names of boxes: the one that decides, the one that does so after it, and one that takes a call; the fourth sees all of them. */
-function nameBoxes(): {dispatcher: string; entry: string; next: string; entryUrl: string} {
+function pickBoxes(): {dispatcher: string; entry: string; next: string; entryUrl: string} {
 	const boxes = ['box-1', 'box-2', 'box-3', 'box-4'];
 	const [dispatcher, next, entry] = orderByRendezvous(`${standinFleet.service}@${standinFleet.region}`, boxes, box => box);
 	expect(boxes.indexOf(dispatcher)).toBe(fleet.findDispatcherNode());
@@ -43,7 +43,7 @@
 	};
 }
 
-function cutBothWays(one: string, other: string): void {
+function cutBothDirections(one: string, other: string): void {
 	fleet.network.cutPath(one, other);
 	fleet.network.cutPath(other, one);
 }
@@ -57,7 +57,7 @@
 }
 
 test('an answer goes on while its entry cannot reach the dispatcher', async () => {
-	const {dispatcher, entry, entryUrl} = nameBoxes();
+	const {dispatcher, entry, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl);
 	fleet.network.cutPath(entry, dispatcher);
 	const answer = await fleet.settle(running);
@@ -65,24 +65,24 @@
 });
 
 test('an answer goes on while its entry and the dispatcher cannot reach each other', async () => {
-	const {dispatcher, entry, entryUrl} = nameBoxes();
+	const {dispatcher, entry, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl);
-	cutBothWays(entry, dispatcher);
+	cutBothDirections(entry, dispatcher);
 	const answer = await fleet.settle(running);
 	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
 });
 
 test('an answer goes on when a new dispatcher cannot ask its entry', async () => {
-	const {dispatcher, entry, next, entryUrl} = nameBoxes();
+	const {dispatcher, entry, next, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl);
-	cutBothWays(entry, next);
+	cutBothDirections(entry, next);
 	await fleet.killNode(fleet.nodes[Number(dispatcher.at(-1)) - 1]);
 	const answer = await fleet.settle(running);
 	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
 });
 
 test('a dispatcher that reaches nobody, not even the platform, cancels nothing of others', async () => {
-	const {dispatcher, entryUrl} = nameBoxes();
+	const {dispatcher, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl);
 	fleet.platform.faults = {down: true};
 	fleet.platform.cutWatches();
@@ -92,13 +92,13 @@
 });
 
 test('memory of an answer that ended behind a lost path is free again within ten seconds', async () => {
-	const {dispatcher, entry, entryUrl} = nameBoxes();
+	const {dispatcher, entry, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl, 100);
-	cutBothWays(entry, dispatcher);
+	cutBothDirections(entry, dispatcher);
 	await fleet.settle(running);
 	const countGrants = () => fleet.nodes.reduce((sum, node) => sum + node.readStatus().pools.reduce((held, pool) => held + pool.grants, 0), 0);
 	expect(countGrants()).toBeGreaterThan(0);
-	await fleet.pass(freeWithin);
+	await fleet.pass(reclaimTime);
 	expect(countGrants()).toBe(0);
 });
 
@@ -107,10 +107,10 @@
 holder as gone, wrote itself in, and found the other one's term a moment later (`term_started`, `term_ended`).
 */
 test('two nodes that do not reach each other do not take a pool from each other in turn', async () => {
-	const {dispatcher, entry, next} = nameBoxes();
+	const {dispatcher, entry, next} = pickBoxes();
 	const boxes = ['box-1', 'box-2', 'box-3', 'box-4'];
 	const fourth = boxes.findIndex(box => ![dispatcher, entry, next].includes(box));
-	cutBothWays(entry, next);
+	cutBothDirections(entry, next);
 	await fleet.killNode(fleet.nodes[boxes.indexOf(dispatcher)]);
 	await fleet.killNode(fleet.nodes[fourth]);
 	await fleet.pass(15_000);
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -11,7 +11,7 @@
 import {
 	createFailure, createLogger, createSilentLogger, createTimeout, systemClock, type BackendServerName, type OrganisationId,
 } from '../src/common/index.js';
-import type {SendHead} from '../src/gateway/index.js';
+import type {BackendRequestHead} from '../src/gateway/index.js';
 import type {BackendServer, SourceCall} from '../src/routing/index.js';
 import {createConfig} from './helpers/gateways.js';
 import {LogCapture} from './helpers/logs.js';
@@ -370,7 +370,7 @@
 };
 
 test('a caller\'s head is read, and what it may not set is dropped', () => {
-	const head = wire.readCall('POST', '/a/?b', callHeaders).unsafeCoerce();
+	const head = wire.readCallHead('POST', '/a/?b', callHeaders).unsafeCoerce();
 	expect(head).toMatchObject({
 		requestId: '9c41', host: 'shop.example', key: 'key', timeLeft: 10_000, lastEventId: 12, promptTokens: 1460, outputTokens: 80, target: '/a/?b',
 	});
@@ -383,7 +383,7 @@
 // reading endless: every long prompt was refused for the ten seconds in which it counted as demand.
 test('token counts and event ids that can be none count as not stated', () => {
 	const read = (counts: string, lastEventId: string) => {
-		const head = wire.readCall('POST', '/a/', {...callHeaders, 'cresshook-token-usage': counts, 'last-event-id': lastEventId}).unsafeCoerce();
+		const head = wire.readCallHead('POST', '/a/', {...callHeaders, 'cresshook-token-usage': counts, 'last-event-id': lastEventId}).unsafeCoerce();
 		return [head.promptTokens, head.outputTokens, head.lastEventId];
 	};
 
@@ -423,7 +423,7 @@
 
 test('whatever a caller sends, its head is read or refused, and each of its sends has just what that one says', () => {
 	fc.assert(fc.property(arbitraryHead, fc.array(arbitrarySend, {maxLength: 5}), (fields, sends) => {
-		const read = wire.readCall('POST', '/a/', fields);
+		const read = wire.readCallHead('POST', '/a/', fields);
 		if (read.isLeft()) {
 			const firstValues = [fields['cresshook-attempt-id'], fields.host].flatMap(value => (Array.isArray(value) ? value[0] : value) ?? '');
 			expect(firstValues).toContain('');
@@ -436,7 +436,7 @@
 		expect(call.timeLeft === undefined || Number.isFinite(call.timeLeft)).toBe(true);
 		expect(Object.keys(call.headers).filter(name => writtenFields.has(name) || connectionFields.has(name))).toEqual([]);
 		for (const send of sends) {
-			const sent = wire.formatSend({call, ...send});
+			const sent = wire.formatBackendRequest({call, ...send});
 			const expected = {
 				...call.headers,
 				'cresshook-deadline-ms': String(send.timeLeft),
@@ -454,17 +454,17 @@
 });
 
 test('a head without an id or a host is refused', () => {
-	expect(wire.readCall('GET', '/', {host: 'x'}).isLeft()).toBe(true);
-	expect(wire.readCall('GET', '/', {'cresshook-attempt-id': 'x'}).isLeft()).toBe(true);
+	expect(wire.readCallHead('GET', '/', {host: 'x'}).isLeft()).toBe(true);
+	expect(wire.readCallHead('GET', '/', {'cresshook-attempt-id': 'x'}).isLeft()).toBe(true);
 });
 
 test('what is sent to a server names the server, the organisation, the time left and the helpers', () => {
-	const call = wire.readCall('POST', '/a/', callHeaders).unsafeCoerce();
-	const send: SendHead = {
+	const call = wire.readCallHead('POST', '/a/', callHeaders).unsafeCoerce();
+	const send: BackendRequestHead = {
 		call, serverName: 'i-1' as BackendServerName, organisation: 'guild' as OrganisationId, timeLeft: 900, lastEventId: 14, urgency: 12,
 		helpers: [{address: '10.0.0.1:80', reservation: 't1'}, {address: '10.0.0.2:80'}],
 	};
-	expect(wire.formatSend(send)).toMatchObject({
+	expect(wire.formatBackendRequest(send)).toMatchObject({
 		'cresshook-target-instance': 'i-1', 'cresshook-tenant': 'guild', 'cresshook-deadline-ms': '900',
 		'last-event-id': '14', helpers: '10.0.0.1:80/t1,10.0.0.2:80', priority: '9', 'cresshook-model': 'm',
 	});
@@ -472,7 +472,7 @@
 
 test('an answer\'s head tells whose it is, whether it ran and whether its end can be trusted', () => {
 	const read = (status: number, headers: Record<string, string>) => {
-		const head = wire.readAnswer(status, headers);
+		const head = wire.readResponseHead(status, headers);
 		return [head.isSigned, head.isDeclined, head.isFramed, head.isEncoded];
 	};
 
--- a/test/reload-settings.test.ts
+++ b/test/reload-settings.test.ts
@@ -20,10 +20,10 @@
 import {createTextAnswer, decline} from './helpers/platform-standins.js';
 
 /** For tests that bundle the program and run it as a process, in milliseconds. */
-const processLimit = 30_000;
+const processTimeout = 30_000;
 
 /** The time between two looks at the settings file, and some, in milliseconds. */
-const lookTime = 2500;
+const pollTime = 2500;
 
 const text = `
 box = "edge-0"
@@ -66,14 +66,14 @@
 	return parseGatewaySettings(changed).unsafeCoerce();
 }
 
-async function pass(time: number): Promise<void> {
+async function sleep(time: number): Promise<void> {
 	await new Promise(resolve => {
 		setTimeout(resolve, time);
 	});
 }
 
 async function readStatus(node = 0): Promise<NodeStatus> {
-	await pass(300);
+	await sleep(300);
 	const {body} = await send(`${fleet.settings[node].listen.callers.split(':')[0]}:${fleet.settings[node].metrics_port}`, {path: '/status', method: 'GET'});
 	return JSON.parse(body) as NodeStatus;
 }
@@ -142,11 +142,11 @@
 	const clock = new VirtualClock();
 	const lifetime = new AddressLifetime(clock, 10);
 	lifetime.change(2);
-	expect([lifetime.seconds, lifetime.findLongest()]).toEqual([2, 10_000]);
+	expect([lifetime.seconds, lifetime.computeRemaining()]).toEqual([2, 10_000]);
 	clock.advance(9000);
-	expect(lifetime.findLongest()).toBe(2000);
+	expect(lifetime.computeRemaining()).toBe(2000);
 	lifetime.change(30);
-	expect(lifetime.findLongest()).toBe(30_000);
+	expect(lifetime.computeRemaining()).toBe(30_000);
 });
 
 test('a running node stops within the new grace', async () => {
@@ -204,11 +204,11 @@
 	const ports = await findFreePorts(6);
 	await fleet.addGateway({index: 0, ports, host: '127.0.1.1'});
 	await fleet.addGateway({index: 1, ports, host: '127.0.1.2'});
-	await pass(1500);
+	await sleep(1500);
 	const alone = await readStatus();
 	expect(alone.nodes.live).toBe(1);
 	fleet.gateways[0].changeSettings({...fleet.settings[0], seeds: [fleet.settings[1].listen.peers]});
-	await pass(1500);
+	await sleep(1500);
 	const both = await readStatus();
 	expect(both.nodes.live).toBe(2);
 });
@@ -274,29 +274,29 @@
 	const {path, log, state, reloader} = await createReloader();
 	const stopping = new AbortController();
 	const watching = reloader.watch(stopping.signal);
-	await pass(lookTime);
+	await sleep(pollTime);
 	await writeFile(path, text.replace('slack = 20', 'slack = 5'));
 	await waitUntil(() => state.inForce.retry.slack === 5);
 	await rm(path);
-	await pass(lookTime * 2);
+	await sleep(pollTime * 2);
 	stopping.abort();
 	await watching;
 	expect(log.listEvents('reloaded').map(({cause, taken}) => [cause, taken])).toEqual([['file', ['retry.slack']]]);
 	expect(log.listEvents('reload_refused')).toEqual([]);
-}, processLimit);
+}, processTimeout);
 
 test('a change that a signal told of is not told again by the file', async () => {
 	const {path, log, reloader} = await createReloader();
 	const stopping = new AbortController();
 	const watching = reloader.watch(stopping.signal);
-	await pass(100);
+	await sleep(100);
 	await writeFile(path, text.replace('slack = 20', 'slack = 5'));
 	await reloader.reload('signal');
-	await pass(lookTime * 2);
+	await sleep(pollTime * 2);
 	stopping.abort();
 	await watching;
 	expect(log.listEvents('reloaded').map(({cause}) => cause)).toEqual(['signal']);
-}, processLimit);
+}, processTimeout);
 
 test('SIGHUP makes a process of the program take its file over and go on', async () => {
 	await fleet.store.start();
@@ -321,4 +321,4 @@
 	const status = await send(`${processHost}:${metrics}`, {path: '/status', method: 'GET'});
 	expect(status.status).toBe(200);
 	expect(program.exitCode).toBeNull();
-}, processLimit);
+}, processTimeout);
--- a/test/request-fingerprint.test.ts
+++ b/test/request-fingerprint.test.ts
@@ -9,7 +9,7 @@
 const [guild, harbour] = ['guild', 'harbour'] as OrganisationId[];
 
 function readHead(headers: Record<string, string> = {}): CallHead {
-	return wire.readCall('POST', '/stream/1', {host: 'shop.example', 'cresshook-attempt-id': 'id-1', ...headers}).unsafeCoerce();
+	return wire.readCallHead('POST', '/stream/1', {host: 'shop.example', 'cresshook-attempt-id': 'id-1', ...headers}).unsafeCoerce();
 }
 
 /** A body of 200 kB that differs from others in its middle only. */
--- a/test/silent-servers.test.ts
+++ b/test/silent-servers.test.ts
@@ -1,7 +1,7 @@
 import {
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
-import {GatewayFleet, type SeenAnswer} from './helpers/gateways.js';
+import {GatewayFleet, type ReceivedResponse} from './helpers/gateways.js';
 import {
 	createTextAnswer, streamEvents, type ServerBehaviour,
 } from './helpers/platform-standins.js';
@@ -56,7 +56,7 @@
 	await fleet.stop();
 });
 
-async function callTogether(path: string, count: number): Promise<SeenAnswer[]> {
+async function callTogether(path: string, count: number): Promise<ReceivedResponse[]> {
 	return Promise.all(Array.from({length: count}, async () => fleet.call({path, headers: describePrompt()})));
 }
 
@@ -84,7 +84,7 @@
 		const started = Date.now();
 		const answers = await callTogether(path, callsAtOnce);
 		longest = Math.max(longest, Date.now() - started);
-		whole.push(answers.filter(answer => answer.status === 200 && answer.isWhole).length);
+		whole.push(answers.filter(answer => answer.status === 200 && answer.isComplete).length);
 	}
 
 	return {whole, longest};
@@ -130,7 +130,7 @@
 		await loseAll('/stream/', 'model');
 		const started = Date.now();
 		const answer = await fleet.call({path: '/stream/', headers: describePrompt(longPrompt)});
-		expect([answer.status, answer.isWhole, Date.now() - started < oneSilence / 2]).toEqual([200, true, true]);
+		expect([answer.status, answer.isComplete, Date.now() - started < oneSilence / 2]).toEqual([200, true, true]);
 	}
 
 	expect(fleet.runners.some(runner => runner.receivedRequests.some(request => request.headers.helpers !== undefined))).toBe(true);
--- a/test/source-ages.test.ts
+++ b/test/source-ages.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from '@jest/globals';
 import {createLogger, VirtualClock} from '../src/common/index.js';
 import {GatewayMetrics} from '../src/gateway/gateway-metrics.js';
-import {SourceReport} from '../src/gateway/views/index.js';
+import {SourceAgeReporter} from '../src/gateway/views/index.js';
 import {FleetState, SourceAgeTracker} from '../src/routing/index.js';
 import {LogCapture} from './helpers/logs.js';
 
@@ -26,11 +26,11 @@
 	const logger = createLogger('info', log);
 	const state = new FleetState(clock, logger);
 	const metrics = new GatewayMetrics();
-	const report = new SourceReport({
+	const report = new SourceAgeReporter({
 		logger, metrics, state, isWatcher: () => false,
 	});
 	state.sourceAgeTracker.mergeAges({configuration: 100, servers: 100});
-	for (let beat = 0; beat < 20; beat++) {
+	for (let tick = 0; tick < 20; tick++) {
 		clock.advance(250);
 		state.sourceAgeTracker.mergeAges({configuration: undefined, servers: 300});
 		report.tick();
--- a/test/source-silence.test.ts
+++ b/test/source-silence.test.ts
@@ -7,16 +7,16 @@
 import {StoreFleet} from './helpers/store-fleet.js';
 
 /** Time for a test that plays dozens of nodes, in milliseconds. */
-const playLimit = 120_000;
+const simulationTimeout = 120_000;
 
 /** Time within which a change must be in force at every node while the store serves any of them, in milliseconds. */
 const changeBound = 2000;
 
 /** Time that is looked at, in milliseconds. */
-const longest = 12_000;
+const measureLimit = 12_000;
 
 /** The followers and so many of the others, drawn. */
-function drawSilent(fleet: StoreFleet, share: number, seed: string): Set<number> {
+function drawUnanswered(fleet: StoreFleet, share: number, seed: string): Set<number> {
 	const random = seedrandom(seed);
 	const {followers} = fleet;
 	const count = Math.round(fleet.nodes.length * share);
@@ -29,7 +29,7 @@
 	let worst = 0;
 	for (let change = 0; change < changes; change++) {
 		fleet.changeConfig();
-		const time = await fleet.measureChange(longest);
+		const time = await fleet.measureChange(measureLimit);
 		worst = Math.max(worst, time);
 		await fleet.pass(Math.max(0, 500 - time));
 	}
@@ -40,66 +40,66 @@
 test.each([
 	[6, 0.6, 'a'], [12, 0.6, 'b'], [76, 0.35, 'c'], [76, 0.6, 'd'], [76, 0.6, 'e'], [76, 0.9, 'f'], [76, 0.9, 'g'],
 ])('of %d nodes a share of %d is left without answers, all followers among them: a change is in force at all within two seconds (%s)', async (nodes, share, seed) => {
-	const fleet = await new StoreFleet({nodes, seed}).begin();
-	const restore = fleet.silence(drawSilent(fleet, share, seed));
+	const fleet = await new StoreFleet({nodes, seed}).start();
+	const restore = fleet.startOutage(drawUnanswered(fleet, share, seed));
 	expect(await measureWorst(fleet, 6)).toBeLessThanOrEqual(changeBound);
 	restore();
 	expect(await measureWorst(fleet, 4)).toBeLessThanOrEqual(changeBound);
-	await fleet.end();
-}, playLimit);
+	await fleet.stop();
+}, simulationTimeout);
 
 test('those who take over are left without answers, too, a second later', async () => {
-	const fleet = await new StoreFleet({nodes: 24}).begin();
+	const fleet = await new StoreFleet({nodes: 24}).start();
 	const first = fleet.followers;
-	fleet.silence(first);
+	fleet.startOutage(first);
 	fleet.changeConfig();
-	expect(await fleet.measureChange(longest)).toBeLessThanOrEqual(changeBound);
+	expect(await fleet.measureChange(measureLimit)).toBeLessThanOrEqual(changeBound);
 	await fleet.pass(1000);
 	const next = fleet.followers.filter(index => !first.includes(index));
-	fleet.silence(next);
+	fleet.startOutage(next);
 	fleet.changeConfig();
-	expect(await fleet.measureChange(longest)).toBeLessThanOrEqual(changeBound);
-	await fleet.end();
-}, playLimit);
+	expect(await fleet.measureChange(measureLimit)).toBeLessThanOrEqual(changeBound);
+	await fleet.stop();
+}, simulationTimeout);
 
 test('a store that answers the servers\' watch and not the configuration\'s has its followers replaced', async () => {
-	const fleet = await new StoreFleet({nodes: 12}).begin();
-	fleet.silence(fleet.followers, {kind: 'configuration'});
+	const fleet = await new StoreFleet({nodes: 12}).start();
+	fleet.startOutage(fleet.followers, {kind: 'configuration'});
 	expect(await measureWorst(fleet, 4)).toBeLessThanOrEqual(changeBound);
-	await fleet.end();
-}, playLimit);
+	await fleet.stop();
+}, simulationTimeout);
 
 test('open connections of all nodes fall silent, and new ones are answered', async () => {
-	const fleet = await new StoreFleet({nodes: 12}).begin();
-	fleet.silence(fleet.nodes.keys(), {keepsNew: true});
+	const fleet = await new StoreFleet({nodes: 12}).start();
+	fleet.startOutage(fleet.nodes.keys(), {isNewAnswered: true});
 	expect(await measureWorst(fleet, 3)).toBeLessThanOrEqual(changeBound);
-	await fleet.end();
-}, playLimit);
+	await fleet.stop();
+}, simulationTimeout);
 
 test.each([300, 1300, 2400, 5000])('a store takes %d ms for each answer: a change is in force at all nodes half a second after one such time', async answerTime => {
-	const fleet = await new StoreFleet({nodes: 6}).begin();
+	const fleet = await new StoreFleet({nodes: 6}).start();
 	fleet.store.answerTime = answerTime;
 	// A store is known to be slow once it has answered.
 	await fleet.pass(2 * answerTime);
 	for (let change = 0; change < 4; change++) {
 		fleet.changeConfig();
-		expect(await fleet.measureChange(longest)).toBeLessThanOrEqual(answerTime + 500);
+		expect(await fleet.measureChange(measureLimit)).toBeLessThanOrEqual(answerTime + 500);
 		await fleet.pass(700);
 	}
 
-	await fleet.end();
-}, playLimit);
+	await fleet.stop();
+}, simulationTimeout);
 
 test('a store that is slow from one moment on is heard after one answer\'s time', async () => {
-	const fleet = await new StoreFleet({nodes: 6}).begin();
+	const fleet = await new StoreFleet({nodes: 6}).start();
 	fleet.store.answerTime = 2400;
 	fleet.changeConfig();
-	expect(await fleet.measureChange(longest)).toBeLessThanOrEqual(2400 + 1500 + 500);
-	await fleet.end();
-}, playLimit);
+	expect(await fleet.measureChange(measureLimit)).toBeLessThanOrEqual(2400 + 1500 + 500);
+	await fleet.stop();
+}, simulationTimeout);
 
 test('a calm store is asked no more than twice in 1.5 s by each of three followers, a silent one by hardly more nodes than are needed', async () => {
-	const fleet = await new StoreFleet({nodes: 76}).begin();
+	const fleet = await new StoreFleet({nodes: 76}).start();
 	const countCalls = async (time: number) => {
 		const before = fleet.store.calls;
 		await fleet.pass(time);
@@ -108,83 +108,83 @@
 
 	expect(fleet.followers).toHaveLength(3);
 	expect(await countCalls(15_000)).toBeLessThanOrEqual(3 * 2 * 10 * 1.05);
-	const restore = fleet.silence(fleet.nodes.keys());
+	const restore = fleet.startOutage(fleet.nodes.keys());
 	// The wave that looks for a node that is served asks once at each; from then on few go on.
 	await countCalls(3000);
 	expect(await countCalls(10_000)).toBeLessThanOrEqual(10 * 30);
 	restore();
 	fleet.changeConfig();
-	expect(await fleet.measureChange(longest)).toBeLessThanOrEqual(changeBound);
+	expect(await fleet.measureChange(measureLimit)).toBeLessThanOrEqual(changeBound);
 	await fleet.pass(3000);
 	expect(fleet.followers).toHaveLength(3);
 	expect(await countCalls(15_000)).toBeLessThanOrEqual(3 * 2 * 10 * 1.05);
-	await fleet.end();
-}, playLimit);
+	await fleet.stop();
+}, simulationTimeout);
 
 // Calls that had waited through a silence of seven seconds were answered at its end, and made the store count as one that takes so
 // long: when it fell silent again, 2 s later, nobody said so (no `source_lost`), and no other node tried it for 4.2 s (`source_unheard`).
 test('a second silence is noticed as soon as the first, after calls that were answered at its end', async () => {
-	const fleet = await new StoreFleet({nodes: 24}).begin();
-	const first = fleet.silence(drawSilent(fleet, 0.6, 'first'), {keepsCalls: true});
+	const fleet = await new StoreFleet({nodes: 24}).start();
+	const first = fleet.startOutage(drawUnanswered(fleet, 0.6, 'first'), {isDeferring: true});
 	expect(await measureWorst(fleet, 12)).toBeLessThanOrEqual(changeBound);
 	first();
 	expect(await measureWorst(fleet, 4)).toBeLessThanOrEqual(changeBound);
-	fleet.silence(drawSilent(fleet, 0.6, 'second'), {keepsCalls: true});
+	fleet.startOutage(drawUnanswered(fleet, 0.6, 'second'), {isDeferring: true});
 	expect(await measureWorst(fleet, 6)).toBeLessThanOrEqual(changeBound);
-	await fleet.end();
-}, playLimit);
+	await fleet.stop();
+}, simulationTimeout);
 
 // All nodes but one were left without answers, twice within seconds, another one each time. Those who had tried in vain in the first
 // silence counted as cut off for ten seconds, the one that was served in the second among them: no node tried the store but the three
 // that could not reach it (no `watcher_changed` for 1.04 s, until the silence was over), and a route was refused 2,355 ms after its version.
 test.each([[6, 1], [6, 2], [12, 3]])('of %d nodes one is served, in each of three silences another one (%d)', async (nodes, seed) => {
-	const fleet = await new StoreFleet({nodes, seed: `one ${seed}`}).begin();
+	const fleet = await new StoreFleet({nodes, seed: `one ${seed}`}).start();
 	const {followers} = fleet;
 	const others = fleet.nodes.map(({index}) => index).filter(index => !followers.includes(index));
 	for (const served of others.slice(0, 3)) {
-		const restore = fleet.silence(fleet.nodes.map(({index}) => index).filter(index => index !== served));
+		const restore = fleet.startOutage(fleet.nodes.map(({index}) => index).filter(index => index !== served));
 		expect(await measureWorst(fleet, 6)).toBeLessThanOrEqual(changeBound);
 		restore();
 		await fleet.pass(400);
 	}
 
-	await fleet.end();
-}, playLimit);
+	await fleet.stop();
+}, simulationTimeout);
 
 /** Forty nodes that started so long ago, in milliseconds, of which one is served. */
-async function silenceAllButOne(time: number, served: number): Promise<StoreFleet> {
-	const fleet = await new StoreFleet({nodes: 40, seed: `forty ${served}`}).begin(time);
-	fleet.silence(fleet.nodes.map(node => node.index).filter(index => index !== served));
+async function startOutageOfAllButOne(time: number, served: number): Promise<StoreFleet> {
+	const fleet = await new StoreFleet({nodes: 40, seed: `forty ${served}`}).start(time);
+	fleet.startOutage(fleet.nodes.map(node => node.index).filter(index => index !== served));
 	return fleet;
 }
 
 // A node that had answers in an earlier turn claimed to hear the source in a new one, and the other nodes stopped their search.
 test.each([800, 1200, 1600])('of forty nodes that started %d ms ago none says in a new turn that it hears the source before it does', async time => {
 	for (const served of [3, 19, 27]) {
-		const fleet = await silenceAllButOne(time, served);
+		const fleet = await startOutageOfAllButOne(time, served);
 		const first = fleet.followers;
-		const wrong = new Set<number>();
+		const wrongClaims = new Set<number>();
 		for (let passed = 0; passed < 3000; passed += 10) {
 			await fleet.pass(10);
 			for (const {index, exchange} of fleet.nodes) {
 				if (exchange.hearsSource && index !== served && !first.includes(index)) {
-					wrong.add(index);
+					wrongClaims.add(index);
 				}
 			}
 		}
 
-		expect([...wrong]).toEqual([]);
-		await fleet.end();
+		expect([...wrongClaims]).toEqual([]);
+		await fleet.stop();
 	}
-}, playLimit);
+}, simulationTimeout);
 
 test.each([800, 1200, 1600, 6000])('of forty nodes that started %d ms ago one is served: a change is in force at all within two seconds', async time => {
 	const times: number[] = [];
 	for (const served of [3, 11, 19, 27, 35]) {
-		const fleet = await silenceAllButOne(time, served);
+		const fleet = await startOutageOfAllButOne(time, served);
 		times.push(await measureWorst(fleet, 4));
-		await fleet.end();
+		await fleet.stop();
 	}
 
 	expect(times.filter(worst => worst > changeBound)).toEqual([]);
-}, playLimit);
+}, simulationTimeout);
--- a/test/status.test.ts
+++ b/test/status.test.ts
@@ -11,10 +11,10 @@
 import {createTextAnswer, decline, streamEvents} from './helpers/platform-standins.js';
 
 /** How long one reading of a node's status is told, in milliseconds. */
-const readEvery = 250;
+const cacheTime = 250;
 
 /** Largest answer, in bytes. */
-const largestAnswer = 256 * 1024;
+const maxStatusBytes = 256 * 1024;
 
 let fleet: GatewayFleet;
 
@@ -30,7 +30,7 @@
 	return `${fleet.settings[node].listen.callers.split(':')[0]}:${fleet.settings[node].metrics_port}`;
 }
 
-async function pass(time: number): Promise<void> {
+async function sleep(time: number): Promise<void> {
 	await new Promise(resolve => {
 		setTimeout(resolve, time);
 	});
@@ -45,7 +45,7 @@
 test('a node says who decides, who lives, and which versions it and the others know', async () => {
 	await fleet.start({nodes: 2, runners: [{service: 'model', behaviour: streamEvents(2)}]});
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.listReadyNodes().length === 2));
-	await pass(readEvery);
+	await sleep(cacheTime);
 	const [first, second] = [await readStatus(0), await readStatus(1)];
 	expect([first, second].map(status => [status.node.name, status.phase, status.nodes.live, status.node.configVersion])).toEqual([['edge-0', 'ready', 2, 1], ['edge-1', 'ready', 2, 1]]);
 	expect(first.nodes.listed).toEqual([{
@@ -71,9 +71,9 @@
 			},
 		}, {service: 'model', behaviour: streamEvents(2)}],
 	});
-	const held = fleet.call({path: '/once/'});
+	const pending = fleet.call({path: '/once/'});
 	await fleet.call({path: '/stream/', headers: {'cresshook-token-usage': '5000,80'}});
-	await pass(readEvery);
+	await sleep(cacheTime);
 	const {services, calls} = await readStatus();
 	const app = services.find(({service}) => service === 'app');
 	expect(calls).toBe(1);
@@ -90,8 +90,8 @@
 		socket.destroy();
 	}
 
-	await held;
-	await pass(readEvery);
+	await pending;
+	await sleep(cacheTime);
 	const after = await readStatus();
 	expect(after.calls).toBe(0);
 	const [server] = after.services.find(({service}) => service === 'app')!.servers;
@@ -104,7 +104,7 @@
 	fleet.loggers.push(createLogger('info', log));
 	await fleet.start({runners: [{service: 'app', behaviour: decline}, {service: 'app', behaviour: decline}]});
 	await fleet.call({path: '/again/'});
-	await pass(readEvery);
+	await sleep(cacheTime);
 	const {services} = await readStatus();
 	const {retries} = services.find(({service}) => service === 'app')!;
 	expect(log.listEvents('retry').length).toBeGreaterThan(0);
@@ -114,7 +114,7 @@
 test('the text names the same for people', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await fleet.call({path: '/once/'});
-	await pass(readEvery);
+	await sleep(cacheTime);
 	const {code, out} = await runCommand('status', findAddress());
 	expect(code).toBe(0);
 	expect(out).toMatch(/^edge-0 \(life [\w-]{6}, north\): ready, 0 calls in progress\n/);
@@ -134,13 +134,13 @@
 
 	await waitUntil(() => fleet.gateways[0].state.usableServers === 1501);
 	await fleet.call({path: '/once/'});
-	await pass(readEvery);
+	await sleep(cacheTime);
 	const askedAt = performance.now();
 	const texts = await Promise.all(Array.from({length: 50}, async () => send(findAddress(), {path: '/status', method: 'GET'})));
 	// A reading is cached for `readEvery`; on a busy machine the answers may span several.
-	const readings = 1 + Math.floor((performance.now() - askedAt) / readEvery);
+	const readings = 1 + Math.floor((performance.now() - askedAt) / cacheTime);
 	expect(new Set(texts.map(({body}) => body)).size).toBeLessThanOrEqual(readings);
-	expect(texts[0].body.length).toBeLessThan(largestAnswer);
+	expect(texts[0].body.length).toBeLessThan(maxStatusBytes);
 	const {services} = JSON.parse(texts[0].body) as NodeStatus;
 	const app = services.find(({service}) => service === 'app')!;
 	expect([app.usableServers, app.servers.length]).toEqual([1501, 512]);
--- a/test/store-returns.test.ts
+++ b/test/store-returns.test.ts
@@ -7,13 +7,13 @@
 import {createTextAnswer} from './helpers/platform-standins.js';
 
 /** For tests that wait until a silence has been noticed, in milliseconds. */
-const silenceLimit = 30_000;
+const outageTimeout = 30_000;
 
 /** Nodes of a fleet: more than follow the store. */
 const fleetSize = 5;
 
 /** How long the store is silent, in milliseconds: longer than a watch of calm times and its limit. */
-const silence = 7500;
+const outageTime = 7500;
 
 /** Time within which a change must be in force at every node, in milliseconds. */
 const changeBound = 2000;
@@ -40,13 +40,13 @@
 // the store's record), and until then all nodes refused what the first of them had added.
 test('a change made when a silent store is back is in force at every node within two seconds', async () => {
 	fleet.store.trouble = 'silent';
-	await pause(silence);
+	await pause(outageTime);
 	fleet.store.trouble = 'none';
 	fleet.store.put('config', 'main', createConfig(2));
 	await waitUntil(() => areAllAt(2), changeBound);
 	const answer = await fleet.call({path: '/once/'});
 	expect(answer.status).toBe(200);
-}, silenceLimit);
+}, outageTimeout);
 
 test('a change made when all connections to the store have just fallen silent is in force within three seconds', async () => {
 	fleet.store.silenceConnections();
@@ -54,7 +54,7 @@
 	fleet.putServer(0, 'app', 'draining');
 	await waitUntil(() => areAllAt(2) && fleet.gateways.every(gateway => gateway.state.listServers('app' as ServiceName).length === 0), 3000);
 	expect(areAllAt(2)).toBe(true);
-}, silenceLimit);
+}, outageTimeout);
 
 test('changes are in force within three seconds each when all connections to the store fall silent twice in a row', async () => {
 	for (const version of [2, 3]) {
@@ -64,7 +64,7 @@
 	}
 
 	expect(areAllAt(3)).toBe(true);
-}, silenceLimit);
+}, outageTimeout);
 
 // The servers were watched for five seconds at a time, the configuration for 1.5 s, and whoever found the store silent told the
 // other watch of its node. When only the watches of the servers fell silent, at all three followers, nobody found it: a
@@ -74,7 +74,7 @@
 	fleet.putServer(0, 'app', 'draining');
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.state.listServers('app' as ServiceName).length === 0), 3000);
 	expect(fleet.gateways.every(gateway => gateway.isReady)).toBe(true);
-}, silenceLimit);
+}, outageTimeout);
 
 test('nodes register though all connections to the store fall silent before they do', async () => {
 	const late = new GatewayFleet();
@@ -83,7 +83,7 @@
 	await waitUntil(() => late.store.listNames('cresshook-nodes').includes('edge-0'), 6000);
 	expect(late.store.listNames('cresshook-nodes')).toEqual(['edge-0']);
 	await late.stop();
-}, silenceLimit);
+}, outageTimeout);
 
 // Of the changes that a store tells, those of entries that are gone bear the revision of their last write, which is long known.
 // A follower that left out what it knew left them out: servers that had ended stayed in use at every node (12 of 11 after a run,
@@ -94,4 +94,4 @@
 	fleet.store.remove('servers', 'i-0');
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.state.listServers('app' as ServiceName).length === 1), 3000);
 	expect(fleet.gateways.map(gateway => gateway.state.usableServers)).toEqual(fleet.gateways.map(() => 1));
-}, silenceLimit);
+}, outageTimeout);
--- a/test/view-questions.test.ts
+++ b/test/view-questions.test.ts
@@ -3,21 +3,21 @@
 import {expect, test} from '@jest/globals';
 import {VirtualClock, type BoxId} from '../src/common/index.js';
 import type {PeerView} from '../src/gateway/peers/peer-beat.js';
-import {ViewQuestions, type ViewQuestion} from '../src/gateway/views/index.js';
+import {ViewFetcher, type ViewRequest} from '../src/gateway/views/index.js';
 import {createPeer} from './helpers/peers.js';
 import {advanceClock} from './helpers/sources.js';
 
-type Put = {node: BoxId; at: number; question: ViewQuestion; answer: () => void};
+type SentRequest = {node: BoxId; at: number; request: ViewRequest; answer: () => void};
 
 /** Questions of a node that is behind all others until an answer has come. */
-function startQuestions() {
+function startFetcher() {
 	const clock = new VirtualClock();
-	const puts: Put[] = [];
+	const puts: SentRequest[] = [];
 	let isBehind = true;
-	const questions = new ViewQuestions({
+	const questions = new ViewFetcher({
 		clock,
 		isAhead: () => isBehind,
-		onSilent() {}, // eslint-disable-line @typescript-eslint/no-empty-function
+		onStalled() {}, // eslint-disable-line @typescript-eslint/no-empty-function
 		ask: async (peer, question) => new Promise(resolve => {
 			question.signal.addEventListener('abort', () => {
 				resolve();
@@ -25,7 +25,7 @@
 			puts.push({
 				node: peer.name,
 				at: clock.readMonotonic(),
-				question,
+				request: question,
 				answer() {
 					isBehind = false;
 					resolve();
@@ -34,37 +34,37 @@
 		}),
 	});
 	for (const name of ['n1', 'n2', 'n3']) {
-		questions.hear(createPeer(name), {} as PeerView);
+		questions.observe(createPeer(name), {} as PeerView);
 	}
 
 	return {clock, puts, questions};
 }
 
 test('each silence is borne twice as long as the one before, and four questions are under way at most', async () => {
-	const {clock, puts} = startQuestions();
+	const {clock, puts} = startFetcher();
 	await advanceClock(clock, 1900);
 	expect(puts.map(put => put.at)).toEqual([0, 100, 300, 700]);
 	expect(new Set(puts.map(put => put.node))).toEqual(new Set(['n1', 'n2', 'n3']));
 });
 
 test('the first question that is heard ends the others, and is waited for while its parts keep coming', async () => {
-	const {clock, puts} = startQuestions();
+	const {clock, puts} = startFetcher();
 	await advanceClock(clock, 150);
 	for (let part = 0; part < 20; part++) {
-		puts[0].question.onHeard();
+		puts[0].request.onHeard();
 		await advanceClock(clock, 200);
 	}
 
-	expect(puts.map(put => put.question.signal.aborted)).toEqual([false, true]);
+	expect(puts.map(put => put.request.signal.aborted)).toEqual([false, true]);
 	await advanceClock(clock, 100);
 	expect(puts).toHaveLength(3);
 });
 
 test('an answer ends all other questions', async () => {
-	const {clock, puts, questions} = startQuestions();
+	const {clock, puts, questions} = startFetcher();
 	await advanceClock(clock, 350);
 	puts[1].answer();
 	await advanceClock(clock, 3000);
-	expect(puts.map(put => put.question.signal.aborted)).toEqual([true, false, true]);
-	expect(questions.asked).toEqual([]);
+	expect(puts.map(put => put.request.signal.aborted)).toEqual([true, false, true]);
+	expect(questions.pendingNodes).toEqual([]);
 });
--- a/test/views-behind-silence.test.ts
+++ b/test/views-behind-silence.test.ts
@@ -11,19 +11,19 @@
 import {createModelServer, createRoutedConfig, createRoutes} from './helpers/viewing-fleet.js';
 
 /** Time for a test that rests between changes, in milliseconds. */
-const playLimit = 60_000;
+const testTimeout = 60_000;
 
 const nodeCount = 9;
 const followers = 3;
 
 /** Changes by which nodes come to keep connections to each other. */
-const earlierChanges = 8;
+const warmUpChanges = 8;
 
 /** Time for which connections are at rest before a change, in milliseconds. */
-const restTime = 1000;
+const idleTime = 1000;
 
 /** Bytes a millisecond of a link of 14 Mbit/s: the narrowest of the boxes that are served. */
-const narrowLink = 1750;
+const narrowLinkBytesPerMs = 1750;
 
 const servers = Array.from({length: 60}, (_, index) => createModelServer(index));
 
@@ -37,22 +37,22 @@
 	await fleet.stop();
 });
 
-async function rest(time: number): Promise<void> {
+async function sleep(time: number): Promise<void> {
 	await new Promise(resolve => {
 		setTimeout(resolve, time);
 	});
 }
 
-function knowsVersion(version: number): (state: FleetState) => boolean {
+function hasVersion(version: number): (state: FleetState) => boolean {
 	return state => state.configVersion >= version;
 }
 
-function knowsLeaving(count: number): (state: FleetState) => boolean {
+function hasRemovals(count: number): (state: FleetState) => boolean {
 	return state => state.listServers('model' as ServiceName).length <= servers.length - count;
 }
 
 /** Tells those that follow the source of a new version and of a server that leaves. */
-function change(version: number, routes: number): void {
+function applyChange(version: number, routes: number): void {
 	const config = createRoutedConfig(version, createRoutes(routes, `-${version}`));
 	const leaving = {...createModelServer(version, true), entryRevision: version};
 	for (const {state} of fleet.nodes.slice(0, followers)) {
@@ -65,17 +65,17 @@
 async function startFleet(routes: number, options?: LinkOptions): Promise<void> {
 	await fleet.start(nodeCount, options);
 	fleet.settle(createRoutedConfig(1, createRoutes(routes)), servers);
-	for (let version = 2; version < earlierChanges + 2; version++) {
-		change(version, routes);
-		await fleet.measure(state => knowsVersion(version)(state) && knowsLeaving(version - 1)(state));
+	for (let version = 2; version < warmUpChanges + 2; version++) {
+		applyChange(version, routes);
+		await fleet.measure(state => hasVersion(version)(state) && hasRemovals(version - 1)(state));
 	}
 
-	await rest(restTime);
+	await sleep(idleTime);
 }
 
 async function measureChange(version: number, routes: number): Promise<{server: number; config: number}> {
-	change(version, routes);
-	const [server, config] = await Promise.all([fleet.measure(knowsLeaving(version - 1)), fleet.measure(knowsVersion(version))]);
+	applyChange(version, routes);
+	const [server, config] = await Promise.all([fleet.measure(hasRemovals(version - 1)), fleet.measure(hasVersion(version))]);
 	return {server, config};
 }
 
@@ -89,36 +89,36 @@
 	[Infinity, 250],
 	[Infinity, 2000],
 	[Infinity, 10_000],
-])('%d connections to each node fell silent at rest: a changed route of %d and a leaving server are known in time', async (most, routes) => {
-	await startFleet(routes, {rate: narrowLink});
-	fleet.loseConnections(most);
-	await rest(restTime);
-	expectInTime(await measureChange(earlierChanges + 2, routes));
-}, playLimit);
+])('%d connections to each node fell silent at rest: a changed route of %d and a leaving server are known in time', async (connections, routes) => {
+	await startFleet(routes, {rate: narrowLinkBytesPerMs});
+	fleet.loseConnections(connections);
+	await sleep(idleTime);
+	expectInTime(await measureChange(warmUpChanges + 2, routes));
+}, testTimeout);
 
 test('connections that fall silent while they are asked over, and the next ones too, hold up neither', async () => {
 	await startFleet(250);
-	const losing = loseWhileAsked(fleet);
-	expectInTime(await measureChange(earlierChanges + 2, 250));
-	await losing;
-}, playLimit);
+	const stalling = stallDuringRequests(fleet);
+	expectInTime(await measureChange(warmUpChanges + 2, 250));
+	await stalling;
+}, testTimeout);
 
 /** Makes connections silent three times while a change is told: the first questions, and those that are put in their place. */
-async function loseWhileAsked(nodes: LinkedFleet): Promise<void> {
+async function stallDuringRequests(nodes: LinkedFleet): Promise<void> {
 	for (const pause of [5, 35, 70]) {
-		await rest(pause);
+		await sleep(pause);
 		nodes.loseConnections();
 	}
 }
 
 test('a slow transfer is progress: ten thousand routes reach eight new nodes over a link of 2.8 Mbit/s, and hardly twice', async () => {
 	const wholeBytes = 165_000;
-	await fleet.start(nodeCount, {rate: narrowLink / 5});
+	await fleet.start(nodeCount, {rate: narrowLinkBytesPerMs / 5});
 	const {state} = fleet.nodes[0];
 	state.applyServerList({items: servers, revision: 1}, 'source');
 	state.applyConfig(createRoutedConfig(1, createRoutes(10_000)), 'source');
-	const taken = await fleet.measure(knowsVersion(1));
+	const taken = await fleet.measure(hasVersion(1));
 	const carried = fleet.nodes.reduce((sum, {link}) => sum + link.answerBytes, 0);
 	expect(taken).toBeLessThanOrEqual(6000);
 	expect(carried).toBeLessThanOrEqual(1.3 * (nodeCount - 1) * wholeBytes);
-}, playLimit);
+}, testTimeout);
--- a/test/watchers.test.ts
+++ b/test/watchers.test.ts
@@ -3,7 +3,7 @@
 import type {Peer} from '../src/gateway/peers/peer-beat.js';
 import {chooseWatchers} from '../src/gateway/views/watchers.js';
 
-function createNodes(count: number, cutOff: (index: number) => boolean = () => false): Peer[] {
+function createNodes(count: number, isCutOff: (index: number) => boolean = () => false): Peer[] {
 	return Array.from({length: count}, (_, index) => ({
 		name: `n${index}` as BoxId,
 		life: `life-${index}`,
@@ -13,7 +13,7 @@
 		beatAddress: '',
 		cores: 1,
 		isReady: true,
-		isSourceReachable: !cutOff(index),
+		isSourceReachable: !isCutOff(index),
 		hearsSource: false,
 	}));
 }
@@ -29,26 +29,26 @@
 });
 
 /** Nodes that have tried the source: those named hear it or, all but these, do not reach it. */
-function createTried({lost, hearing = []}: {lost: Peer[]; hearing?: Peer[]}): Peer[] {
+function createProbed({lost: unreachable, hearing: connected = []}: {lost: Peer[]; hearing?: Peer[]}): Peer[] {
 	const names = (list: Peer[]) => new Set(list.map(node => node.name));
-	const [lostNames, hearingNames] = [names(lost), names(hearing)];
-	return createNodes(60).map(node => ({...node, isSourceReachable: !lostNames.has(node.name), hearsSource: hearingNames.has(node.name)}));
+	const [unreachableNames, connectedNames] = [names(unreachable), names(connected)];
+	return createNodes(60).map(node => ({...node, isSourceReachable: !unreachableNames.has(node.name), hearsSource: connectedNames.has(node.name)}));
 }
 
 test('for each that cannot reach the source one follows that can', () => {
 	const first = chooseWatchers(createNodes(60));
-	const chosen = chooseWatchers(createTried({lost: first.slice(0, 2)}));
+	const chosen = chooseWatchers(createProbed({lost: first.slice(0, 2)}));
 	expect(chosen).toHaveLength(5);
 	expect(chosen.filter(node => node.isSourceReachable)).toHaveLength(3);
 });
 
 test('while no node hears the source twice as many try it as have tried in vain, 24 at once at most', () => {
-	let tried: Peer[] = chooseWatchers(createNodes(60));
+	let probed: Peer[] = chooseWatchers(createNodes(60));
 	const counts: number[] = [];
 	for (let round = 0; round < 5; round++) {
-		const next = chooseWatchers(createTried({lost: tried})).slice(3);
+		const next = chooseWatchers(createProbed({lost: probed})).slice(3);
 		counts.push(next.length);
-		tried = [...tried, ...next];
+		probed = [...probed, ...next];
 	}
 
 	expect(counts).toEqual([6, 18, 24, 9, 0]);
@@ -56,11 +56,11 @@
 
 test('once enough hear the source the others stop, and those that are first in order take it back', () => {
 	const first = chooseWatchers(createNodes(60));
-	const next = chooseWatchers(createTried({lost: first})).slice(3);
-	expect(chooseWatchers(createTried({lost: first, hearing: next.slice(0, 1)}))).toHaveLength(6);
-	expect(chooseWatchers(createTried({lost: first, hearing: next.slice(0, 5)})).map(node => node.name)).toEqual([...first, ...next.slice(0, 3)].map(node => node.name));
-	expect(chooseWatchers(createTried({lost: first.slice(0, 1), hearing: next.slice(0, 3)}))).toHaveLength(4);
-	expect(chooseWatchers(createTried({lost: [], hearing: next.slice(0, 3)}))).toHaveLength(3);
+	const next = chooseWatchers(createProbed({lost: first})).slice(3);
+	expect(chooseWatchers(createProbed({lost: first, hearing: next.slice(0, 1)}))).toHaveLength(6);
+	expect(chooseWatchers(createProbed({lost: first, hearing: next.slice(0, 5)})).map(node => node.name)).toEqual([...first, ...next.slice(0, 3)].map(node => node.name));
+	expect(chooseWatchers(createProbed({lost: first.slice(0, 1), hearing: next.slice(0, 3)}))).toHaveLength(4);
+	expect(chooseWatchers(createProbed({lost: [], hearing: next.slice(0, 3)}))).toHaveLength(3);
 });
 
 test('while the source is away for all, no more than the first ones ask it on', () => {
