--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -54,7 +54,7 @@
 		const took = performance.now() - started;
 		decided.ifRight(decision => {
 			if (decision.kind === 'plan') {
-				planner.note({planId: decision.plan.planId, kind: 'ended'}, now);
+				planner.recordEvent({planId: decision.plan.planId, kind: 'ended'}, now);
 			}
 		});
 		return took;
--- a/src/gateway/calls/backend-attempt.ts
+++ b/src/gateway/calls/backend-attempt.ts
@@ -8,7 +8,7 @@
 import {
 	readErrorMessage, type BackendServerId, type Clock, type Timer,
 } from '../../common/index.js';
-import {moveShare, type Plan, type Trouble} from '../../planning/index.js';
+import {moveSilenceShare, type Plan, type Trouble} from '../../planning/index.js';
 import type {Route} from '../../routing/index.js';
 import type {ResponseHead, GatewayWire, HeaderFields} from '../wire.js';
 import {BackendExchange} from './backend-exchange.js';
@@ -68,7 +68,7 @@
 
 /** Silence between two events that a server's other work may make, in milliseconds; undefined when the route has no streams. */
 export function findMaxSilence({longestSilence}: Route): number | undefined {
-	return longestSilence === undefined ? undefined : longestSilence * moveShare;
+	return longestSilence === undefined ? undefined : longestSilence * moveSilenceShare;
 }
 
 /** Silence between two events after which a stream goes on at another server, in milliseconds; undefined when it may not. */
--- a/src/gateway/calls/placer.ts
+++ b/src/gateway/calls/placer.ts
@@ -2,7 +2,7 @@
 import type {Either} from 'purify-ts';
 import type {BackendServerId, Failure, ServiceName} from '../../common/index.js';
 import type {
-	Plan, PlanNote, PlanRequest, RetryRequest,
+	Plan, PlanEvent, PlanRequest, RetryRequest,
 } from '../../planning/index.js';
 
 /** A plan, and who made it. */
@@ -27,5 +27,5 @@
 	abstract recordLimit(service: ServiceName, server: BackendServerId, requestsPerSecond: number | undefined): void;
 
 	/** Tells how a plan goes on. */
-	abstract report(plan: Plan, note: PlanNote): void;
+	abstract report(plan: Plan, note: PlanEvent): void;
 }
--- a/src/gateway/peers/peer-rpc.ts
+++ b/src/gateway/peers/peer-rpc.ts
@@ -8,7 +8,7 @@
 	readErrorMessage, RenewedAgent, type Clock, type RequestFingerprint, type Failure, type ServiceName,
 } from '../../common/index.js';
 import type {
-	Decision, NamedLimit, Plan, PlanRequest, RetryHistory, RetryRequest, CrashReport,
+	Decision, ReportedLimit, Plan, PlanRequest, RetryHistory, RetryRequest, CrashReport,
 } from '../../planning/index.js';
 import {
 	askWithin, rpcPath, sendNodeRequest, type NodeRequest,
@@ -32,7 +32,7 @@
 	/** Requests under which servers have ended. */
 	crashRecords: Array<[RequestFingerprint, CrashReport[]]>;
 	/** Limits that servers have named or lifted. */
-	limits: NamedLimit[];
+	limits: ReportedLimit[];
 	history: RetryHistory;
 };
 
@@ -58,7 +58,7 @@
 const planSchema = createShapeSchema<Plan>(['planId', 'request', 'server', 'helpers']);
 const historySchema = createShapeSchema<RetryHistory>(['life', 'age', 'known', 'requests', 'retries', 'meanWorth']);
 const crashSchema = z.custom<[RequestFingerprint, CrashReport[]]>(value => Array.isArray(value) && value.length === 2 && Array.isArray(value[1]));
-const limitSchema = createShapeSchema<NamedLimit>(['server', 'age']);
+const limitSchema = createShapeSchema<ReportedLimit>(['server', 'age']);
 const serviceSchema = z.string() as unknown as z.ZodType<ServiceName>;
 
 const trpc = initTRPC.context<{service: PeerService}>().create();
--- a/src/gateway/peers/peers.ts
+++ b/src/gateway/peers/peers.ts
@@ -9,7 +9,7 @@
 import type {
 	AvailabilityZone, BoxId, Clock, Logger,
 } from '../../common/index.js';
-import type {HeardNode} from '../../planning/index.js';
+import type {LiveNode} from '../../planning/index.js';
 import type {
 	Peer, Heartbeat, PeerInfo, PeerView,
 } from './heartbeat.js';
@@ -104,9 +104,9 @@
 	}
 
 	/** Live nodes, this one left out, and for how long each has been known in its present life, in milliseconds. */
-	listLiveAges(): HeardNode[] {
+	listLiveAges(): LiveNode[] {
 		const now = this.#parts.clock.readMonotonic();
-		return this.#table.list(now).map(({peer, discoveredAt: learnedAt}) => ({life: peer.life, heardFor: now - learnedAt}));
+		return this.#table.list(now).map(({peer, discoveredAt: learnedAt}) => ({life: peer.life, observedFor: now - learnedAt}));
 	}
 
 	/** Live nodes whose process was discovered within the last `age` milliseconds. */
--- a/src/gateway/peers/plan-update.ts
+++ b/src/gateway/peers/plan-update.ts
@@ -10,19 +10,19 @@
 import type {
 	BoxId, RequestFingerprint, PlanId, ServiceName,
 } from '../../common/index.js';
-import type {NamedLimit, PlanNote, CrashReport} from '../../planning/index.js';
+import type {ReportedLimit, PlanEvent, CrashReport} from '../../planning/index.js';
 
 /** News of one node on one service. */
 export type PlanUpdate = {
 	service: ServiceName;
 	node: BoxId;
-	notes: PlanNote[];
+	notes: PlanEvent[];
 	/** All plans that the node carries out; undefined when it only has notes. */
 	active?: PlanId[];
 	/** Requests under which servers have ended. */
 	crashRecords?: Array<[RequestFingerprint, CrashReport[]]>;
 	/** Limits that servers have named or lifted. */
-	limits?: NamedLimit[];
+	limits?: ReportedLimit[];
 };
 
 /** First byte of news; heartbeats begin with another one. */
--- a/src/gateway/scheduling/decision-log.ts
+++ b/src/gateway/scheduling/decision-log.ts
@@ -1,7 +1,7 @@
 /** Writes down what was decided for a request, and from what. */
 import type {Either} from 'purify-ts';
 import type {Failure, Logger} from '../../common/index.js';
-import type {Decision, LongerRead, PlanRequest} from '../../planning/index.js';
+import type {Decision, OverrunReport, PlanRequest} from '../../planning/index.js';
 
 /** What a decision was made from, besides the request. */
 export type DecisionInputs = {
@@ -62,7 +62,7 @@
 }
 
 /** Logs a read that took longer than was planned with: those who write at its servers were silent for longer, too. */
-export function logReadOverrun(logger: Logger, {plan, predicted, took, overrun}: LongerRead): void {
+export function logReadOverrun(logger: Logger, {plan, predicted, took, allowedOverrun: overrun}: OverrunReport): void {
 	logger.info({
 		event: 'read_overran',
 		request: plan.request.requestId,
--- a/src/gateway/scheduling/distributed-retry-budget.ts
+++ b/src/gateway/scheduling/distributed-retry-budget.ts
@@ -1,7 +1,7 @@
 /** The fleet's budget of retries, as one node takes part in it: asks the deciding node, grants for others, and remembers. */
 import type {Clock, Logger, ServiceName} from '../../common/index.js';
 import {
-	computeWorth, FleetRetries, type FleetReach, type PlanRequest, type RetryAllowance, type RetryHistory, type RetryLimits, type RetryRequest,
+	computeValue, FleetRetryBudget, type FleetMembership, type PlanRequest, type RetryAllowance, type RetryHistory, type RetryLimits, type RetryRequest,
 } from '../../planning/index.js';
 import type {Peer} from '../peers/heartbeat.js';
 import type {PeerClients} from '../peers/peer-rpc.js';
@@ -30,7 +30,7 @@
 /** Retries of all services. */
 export class DistributedRetryBudget {
 	readonly #parts: DistributedRetryBudgetParts;
-	readonly #services = new Map<ServiceName, FleetRetries>();
+	readonly #services = new Map<ServiceName, FleetRetryBudget>();
 	readonly #startedAt: number;
 	#limits: RetryLimits;
 
@@ -44,18 +44,18 @@
 	setAllowed(allowed: RetryAllowance): void {
 		this.#limits = {...this.#limits, ...allowed};
 		for (const retries of this.#services.values()) {
-			retries.setAllowed(allowed);
+			retries.setAllowance(allowed);
 		}
 	}
 
 	/** Notes a request of this node, whoever decides it. */
 	recordOwn({service, promptTokens}: PlanRequest): void {
-		this.#find(service).addOwn(this.#now, computeWorth(promptTokens), this.#parts.schedulers.select(service).life);
+		this.#find(service).recordOwn(this.#now, computeValue(promptTokens), this.#parts.schedulers.select(service).life);
 	}
 
 	/** Notes a request of any node that this one decides. */
 	recordDecided({service, promptTokens}: PlanRequest): void {
-		this.#find(service).addDecided(this.#now, computeWorth(promptTokens));
+		this.#find(service).recordDecided(this.#now, computeValue(promptTokens));
 	}
 
 	/** Takes one retry out of the fleet's budget, or out of this node's own small part; false when none is left. */
@@ -64,11 +64,11 @@
 		const retries = this.#find(request.service);
 		const isGranted = scheduler.name === this.#parts.self().name ? this.grant(request) : await this.#askScheduler(scheduler, request);
 		if (isGranted) {
-			retries.noteGranted(this.#now, scheduler.life);
+			retries.recordGranted(this.#now, scheduler.life);
 			return true;
 		}
 
-		return retries.takeAlone(this.#now, computeWorth(request.promptTokens), this.#readReach());
+		return retries.takeFallback(this.#now, computeValue(request.promptTokens), this.#readReach());
 	}
 
 	/** Grants a retry out of the fleet's budget to a node that asked. */
@@ -76,7 +76,7 @@
 		const retries = this.#find(request.service);
 		const now = this.#now;
 		const reach = this.#readReach();
-		const isGranted = retries.grant(now, computeWorth(request.promptTokens), reach);
+		const isGranted = retries.grant(now, computeValue(request.promptTokens), reach);
 		if (!isGranted) {
 			const {requests, retries: spent, memory} = retries.describeBudget(now, reach);
 			this.#parts.logger.info({
@@ -90,12 +90,12 @@
 	/** What this node is to tell a node that decides for it from now on. */
 	describeOwn(service: ServiceName, scheduler: Peer): RetryHistory {
 		const sender = {life: this.#parts.self().life, age: this.#computeAge(), known: this.countKnown()};
-		return this.#find(service).describeOwn(this.#now, sender, scheduler.life);
+		return this.#find(service).describeHistory(this.#now, sender, scheduler.life);
 	}
 
 	/** Takes what a node remembers that asks this one from now on. */
 	mergeHistory(service: ServiceName, history: RetryHistory): void {
-		this.#find(service).learn(history, this.#now);
+		this.#find(service).addHistory(history, this.#now);
 	}
 
 	/** What is left of a service's budget, as its deciding node counts; undefined where nothing was counted yet. */
@@ -108,7 +108,7 @@
 		const now = this.#now;
 		const reach = this.#readReach();
 		const {memory, ...counts} = retries.describeBudget(now, reach);
-		return {...counts, memory: Math.round(memory * 100) / 100, left: retries.countLeft(now, reach)};
+		return {...counts, memory: Math.round(memory * 100) / 100, left: retries.countRemaining(now, reach)};
 	}
 
 	get #now(): number {
@@ -131,19 +131,19 @@
 		return answer === true;
 	}
 
-	#find(service: ServiceName): FleetRetries {
+	#find(service: ServiceName): FleetRetryBudget {
 		let retries = this.#services.get(service);
 		if (retries === undefined) {
-			retries = new FleetRetries(this.#limits);
+			retries = new FleetRetryBudget(this.#limits);
 			this.#services.set(service, retries);
 		}
 
 		return retries;
 	}
 
-	#readReach(): FleetReach {
+	#readReach(): FleetMembership {
 		const age = this.#computeAge();
-		return {live: [{life: this.#parts.self().life, heardFor: age}, ...this.#parts.peers.listLiveAges()], known: this.countKnown(), age};
+		return {live: [{life: this.#parts.self().life, observedFor: age}, ...this.#parts.peers.listLiveAges()], known: this.countKnown(), age};
 	}
 
 	/** Milliseconds since this node's process started. */
--- a/src/gateway/scheduling/fleet-placer.ts
+++ b/src/gateway/scheduling/fleet-placer.ts
@@ -13,7 +13,7 @@
 	type BackendServerId, type BoxId, type Clock, type Failure, type IdSource, type Logger, type PlanId, type ServiceName, type Timer,
 } from '../../common/index.js';
 import {
-	isFirstAsk, Planner, type Decision, type Plan, type PlanNote, type PlanRequest, type RetryAllowance, type RetryLimits, type RetryRequest, type ServerWork,
+	isFirstAttempt, Planner, type Decision, type Plan, type PlanEvent, type PlanRequest, type RetryAllowance, type RetryLimits, type RetryRequest, type PlannedServerStatus,
 } from '../../planning/index.js';
 import type {EngineProfile, FleetState} from '../../routing/index.js';
 import type {GatewayMetrics} from '../gateway-metrics.js';
@@ -77,7 +77,7 @@
 	scheduler: Pick<Peer, 'name' | 'life'> | undefined;
 	/** Whether that node may not know yet what this one has running and has spent. */
 	isAdoptionPending: boolean;
-	notes: PlanNote[];
+	notes: PlanEvent[];
 	crashes: ReplicatedCrashes;
 	limits: ReplicatedLimits;
 	/** Empty lists that are still to be told. */
@@ -97,7 +97,7 @@
 	retries?: RetryBudget;
 	usableServers: number;
 	/** The busiest ones; none before the first request. */
-	servers: ServerWork[];
+	servers: PlannedServerStatus[];
 };
 
 /** Asks the deciding node, and decides when this node is the one, or alone. */
@@ -125,14 +125,14 @@
 		});
 		parts.peers.addLostListener(peer => {
 			for (const {planner} of this.#services.values()) {
-				planner.forgetNode(peer.name, parts.clock.readMonotonic());
+				planner.releaseNode(peer.name, parts.clock.readMonotonic());
 			}
 		});
 	}
 
 	override async place(request: PlanRequest): Promise<Either<Failure, PlacementAnswer>> {
 		const started = this.#parts.clock.readMonotonic();
-		if (isFirstAsk(request)) {
+		if (isFirstAttempt(request)) {
 			this.#retries.recordOwn(request);
 		}
 
@@ -149,7 +149,7 @@
 		});
 	}
 
-	override report(plan: Plan, note: PlanNote): void {
+	override report(plan: Plan, note: PlanEvent): void {
 		const {service, fingerprint} = plan.request;
 		const plans = this.#findPlans(service);
 		this.#applyNote(plans.planner, note);
@@ -161,7 +161,7 @@
 		if (note.kind === 'server_ended') {
 			plans.crashes.replicateOwn(note);
 		} else if (note.kind === 'ended' && note.wasAnswered === true && fingerprint !== undefined && plans.planner.crashRecords.has(fingerprint)) {
-			const survived: PlanNote = {planId: plan.planId, kind: 'survived', fingerprint};
+			const survived: PlanEvent = {planId: plan.planId, kind: 'survived', fingerprint};
 			const isBroadcast = plans.crashes.hasRepeated(fingerprint);
 			this.#applyNote(plans.planner, survived);
 			this.#queueNote(service, plans, survived);
@@ -234,7 +234,7 @@
 		planner.adopt(plans, now);
 		crashes.merge(crashRecords);
 		for (const limit of limits) {
-			planner.limits.learn(limit, now);
+			planner.limits.update(limit, now);
 		}
 	}
 
@@ -297,8 +297,8 @@
 		}
 	}
 
-	#applyNote(planner: Planner, note: PlanNote): void {
-		const overrun = planner.note(note, this.#parts.clock.readMonotonic());
+	#applyNote(planner: Planner, note: PlanEvent): void {
+		const overrun = planner.recordEvent(note, this.#parts.clock.readMonotonic());
 		if (overrun !== undefined) {
 			logReadOverrun(this.#parts.logger, overrun);
 		}
@@ -315,7 +315,7 @@
 	#decideLocally(request: PlanRequest, seen: number, limitShare = fallbackLimitShare / this.#retries.countKnown()): Either<Failure, Decision> {
 		const {planner} = this.#findPlans(request.service);
 		const now = this.#parts.clock.readMonotonic();
-		if (isFirstAsk(request)) {
+		if (isFirstAttempt(request)) {
 			this.#retries.recordDecided(request);
 		}
 
@@ -394,7 +394,7 @@
 		plans.isAdoptionPending ||= answer !== true && plans.scheduler?.life === scheduler.life;
 	}
 
-	#queueNote(service: ServiceName, plans: ServicePlans, note: PlanNote): void {
+	#queueNote(service: ServiceName, plans: ServicePlans, note: PlanEvent): void {
 		if (plans.scheduler !== undefined && plans.scheduler.name !== this.#parts.self().name) {
 			plans.notes.push(note);
 			plans.noteTimer ??= this.#parts.clock.setTimer(noteBatchDelay, () => {
--- a/src/gateway/scheduling/replicated-crashes.ts
+++ b/src/gateway/scheduling/replicated-crashes.ts
@@ -1,6 +1,6 @@
 /** Crash records of one service, as one node takes part in them: attributes crashes to requests and replicates the records. */
 import type {BackendServerId, RequestFingerprint} from '../../common/index.js';
-import type {CrashReport, PlanNote} from '../../planning/index.js';
+import type {CrashReport, PlanEvent} from '../../planning/index.js';
 import type {ServiceParts} from './service-parts.js';
 
 /** Maximum age in milliseconds of an unanswered attempt that a reported crash is attributed to. */
@@ -33,18 +33,18 @@
 	/** Merges records of another node. */
 	merge(records: Array<[RequestFingerprint, CrashReport[]]>): void {
 		for (const [fingerprint, crashes] of records) {
-			this.#parts.planner.crashRecords.learn(fingerprint, crashes, this.#now);
+			this.#parts.planner.crashRecords.merge(fingerprint, crashes, this.#now);
 		}
 	}
 
 	/** Replicates a crash that an attempt of this node has reported. */
-	replicateOwn({server, fingerprint}: Extract<PlanNote, {kind: 'server_ended'}>): void {
+	replicateOwn({server, fingerprint}: Extract<PlanEvent, {kind: 'server_ended'}>): void {
 		this.#replicate(fingerprint);
 		this.#attribute(server, maxReportedCrashAge);
 	}
 
 	/** Replicates a crash that another node has reported. */
-	replicateReported({server, fingerprint}: Extract<PlanNote, {kind: 'server_ended'}>): void {
+	replicateReported({server, fingerprint}: Extract<PlanEvent, {kind: 'server_ended'}>): void {
 		if (this.hasRepeated(fingerprint)) {
 			// Only the node that proxied the request may have seen this crash.
 			this.#replicate(fingerprint);
@@ -65,7 +65,7 @@
 			if (!state.hasServer(server)) {
 				this.#attribute(server);
 			} else if (state.findUsableServer(server) === undefined) {
-				planner.forgetAbandoned(server, this.#now);
+				planner.dropAbandoned(server, this.#now);
 			}
 		}
 	}
--- a/src/gateway/scheduling/replicated-limits.ts
+++ b/src/gateway/scheduling/replicated-limits.ts
@@ -1,6 +1,6 @@
 /** Request limits of one service's servers, as one node takes part in them: reports what answers name and replicates what it knows. */
 import type {BackendServerId, BoxId} from '../../common/index.js';
-import type {NamedLimit} from '../../planning/index.js';
+import type {ReportedLimit} from '../../planning/index.js';
 import type {ServiceParts} from './service-parts.js';
 
 /** Time between two reports of the same limit to the deciding node, in milliseconds. */
@@ -16,7 +16,7 @@
 	}
 
 	/** Notes the limit of an answer, in requests a second, undefined when it names none; returns a report that is due to the deciding node. */
-	recordAnswer(server: BackendServerId, requestsPerSecond: number | undefined, self: BoxId): NamedLimit | undefined {
+	recordAnswer(server: BackendServerId, requestsPerSecond: number | undefined, self: BoxId): ReportedLimit | undefined {
 		if (requestsPerSecond === undefined && this.#parts.planner.limits.findRate(server) === undefined) {
 			return undefined;
 		}
@@ -33,10 +33,10 @@
 	}
 
 	/** Takes a report; returns whether it changed the limit. */
-	merge(limit: NamedLimit, origin: BoxId): boolean {
+	merge(limit: ReportedLimit, origin: BoxId): boolean {
 		const {service, planner, clock, logger} = this.#parts;
 		const before = planner.limits.findRate(limit.server);
-		const isChanged = planner.limits.learn(limit, clock.readMonotonic());
+		const isChanged = planner.limits.update(limit, clock.readMonotonic());
 		if (isChanged) {
 			logger.info({
 				event: 'server_limit', service, ...limit, before, origin,
@@ -47,7 +47,7 @@
 	}
 
 	/** All limits, for other nodes. */
-	describe(): NamedLimit[] {
+	describe(): ReportedLimit[] {
 		return this.#parts.planner.limits.describe(this.#parts.clock.readMonotonic());
 	}
 
--- a/src/logs/ended-call.ts
+++ b/src/logs/ended-call.ts
@@ -1,5 +1,5 @@
 /** How a call ended, by the last line about it, and what that brought. */
-import {computeWorth, lateShare} from '../planning/index.js';
+import {computeValue, lateValueShare} from '../planning/index.js';
 import {
 	findNumber, findText, listTexts, type LogLine,
 } from './log-line.js';
@@ -75,7 +75,7 @@
 		configAge: findNumber(line, 'configAge'),
 	};
 	const verdict = judgeCall(facts);
-	const worth = verdict === 'rejected' ? 0 : computeWorth(facts.promptTokens);
+	const worth = verdict === 'rejected' ? 0 : computeValue(facts.promptTokens);
 	return {
 		...facts, verdict, worth, lost: worth * findLostShare(verdict),
 	};
@@ -115,5 +115,5 @@
 		return 0;
 	}
 
-	return verdict === 'late first' || verdict === 'long pause' || verdict === 'late and long pause' ? 1 - lateShare : 1;
+	return verdict === 'late first' || verdict === 'long pause' || verdict === 'late and long pause' ? 1 - lateValueShare : 1;
 }
--- a/src/planning/abandoned-runs.ts
+++ b/src/planning/abandoned-attempts.ts
@@ -16,7 +16,7 @@
 type AbandonedRun = {server: BackendServerId; fingerprint: RequestFingerprint; endedAt: number};
 
 /** Unanswered attempts of one service. */
-export class AbandonedRuns {
+export class AbandonedAttempts {
 	#runs: AbandonedRun[] = [];
 
 	/** Records an attempt that was sent and not answered. */
--- a/src/planning/held-plans.ts
+++ b/src/planning/active-plans.ts
@@ -7,11 +7,11 @@
 	BackendServerId, BoxId, PlanId, RequestFingerprint,
 } from '../common/index.js';
 import type {BackendServer, EngineProfile} from '../routing/index.js';
-import {computeReadTime} from './engine-model.js';
+import {computePrefillTime} from './engine-model.js';
 import type {Plan} from './plan.js';
 import {
-	isDone, ServerBoard, startWork, type Work,
-} from './server-board.js';
+	isTaskDone, ServerLoad, markTaskStarted, type Task,
+} from './server-load.js';
 
 /** Kept after a request's time before its plan is forgotten unasked, in milliseconds. */
 const planMargin = 1000;
@@ -20,21 +20,21 @@
 const reconcileAge = 500;
 
 /** A plan, when it was made or taken over, and whether it counts as a short request: what is short may change meanwhile. */
-export type HeldPlan = {plan: Plan; since: number; isShort: boolean; isDecidedHere: boolean; works: ReadonlyMap<BackendServerId, Work>};
+export type ActivePlan = {plan: Plan; since: number; isShort: boolean; isDecidedHere: boolean; works: ReadonlyMap<BackendServerId, Task>};
 
 /** How a plan is held: `engine` is undefined for requests that are no prompts. */
 export type HoldParts = {engine: EngineProfile | undefined; isLong: boolean; isDecidedHere: boolean};
 
 /** When a plan is forgotten unasked. */
-function findPlanEnd({plan, since}: HeldPlan): number {
+function findPlanEnd({plan, since}: ActivePlan): number {
 	return since + plan.request.timeLeft + planMargin;
 }
 
 /** Plans of one service. */
-export class HeldPlans {
+export class ActivePlans {
 	/** Boards of the servers that take new work. */
-	readonly boards = new Map<BackendServerId, ServerBoard>();
-	readonly #plans = new Map<PlanId, HeldPlan>();
+	readonly loads = new Map<BackendServerId, ServerLoad>();
+	readonly #plans = new Map<PlanId, ActivePlan>();
 	/** No plan's time is over before this. */
 	#pruneFrom = Infinity;
 
@@ -51,14 +51,14 @@
 	/** Replaces the servers that take new work. */
 	setServers(servers: BackendServer[]): void {
 		const kept = new Set(servers.map(server => server.id));
-		for (const id of this.boards.keys()) {
+		for (const id of this.loads.keys()) {
 			if (!kept.has(id)) {
-				this.boards.delete(id);
+				this.loads.delete(id);
 			}
 		}
 
 		for (const server of servers) {
-			const board = this.boards.get(server.id);
+			const board = this.loads.get(server.id);
 			if (board === undefined) {
 				this.#addBoard(server);
 			} else {
@@ -68,18 +68,18 @@
 	}
 
 	/** Puts the work of a plan on its servers. */
-	hold(plan: Plan, {engine, isLong, isDecidedHere}: HoldParts, now: number): HeldPlan {
-		const readTime = engine === undefined ? 0 : computeReadTime(engine, plan.request.promptTokens, plan.helpers.length + 1);
+	add(plan: Plan, {engine, isLong, isDecidedHere}: HoldParts, now: number): ActivePlan {
+		const prefillTime = engine === undefined ? 0 : computePrefillTime(engine, plan.request.promptTokens, plan.helpers.length + 1);
 		if (engine !== undefined) {
 			this.#forEachBoard(plan, board => {
-				board.markPauses(engine, readTime);
+				board.markExceededPauses(engine, prefillTime);
 			});
 		}
 
-		const findReadEnd = (server: BackendServerId) => now + plan.startIn + readTime + (isLong ? this.boards.get(server)?.computePass(engine!, 0) ?? 0 : 0);
-		const works = createWorks(plan, {isLong, readTime, findReadEnd});
+		const findReadEnd = (server: BackendServerId) => now + plan.startIn + prefillTime + (isLong ? this.loads.get(server)?.computePassTime(engine!, 0) ?? 0 : 0);
+		const works = createWorks(plan, {isLong, prefillTime: prefillTime, findReadEnd});
 		for (const [id, work] of works) {
-			this.boards.get(id)?.add(work);
+			this.loads.get(id)?.add(work);
 		}
 
 		const held = {
@@ -91,18 +91,18 @@
 	}
 
 	/** Notes that the first event of a plan was seen; undefined when it is not held. */
-	start(planId: PlanId, now: number): HeldPlan | undefined {
+	recordStart(planId: PlanId, now: number): ActivePlan | undefined {
 		const held = this.#plans.get(planId);
 		for (const [id, work] of held?.works ?? []) {
-			startWork(work, now);
-			this.boards.get(id)?.start(planId, now);
+			markTaskStarted(work, now);
+			this.loads.get(id)?.markStarted(planId, now);
 		}
 
 		return held;
 	}
 
 	/** Takes the work of a plan off its servers; undefined when it is not held. */
-	release(planId: PlanId): HeldPlan | undefined {
+	release(planId: PlanId): ActivePlan | undefined {
 		const held = this.#plans.get(planId);
 		if (held !== undefined) {
 			this.#plans.delete(planId);
@@ -128,7 +128,7 @@
 	}
 
 	/** Plans of a node. */
-	listOfNode(node: BoxId): Plan[] {
+	listByNode(node: BoxId): Plan[] {
 		return [...this.#plans.values()].filter(({plan}) => plan.request.node === node).map(({plan}) => plan);
 	}
 
@@ -147,19 +147,19 @@
 
 	/** A server that takes new work again still runs its earlier plans, which hold memory there. */
 	#addBoard(server: BackendServer): void {
-		const board = new ServerBoard(server);
-		this.boards.set(server.id, board);
+		const board = new ServerLoad(server);
+		this.loads.set(server.id, board);
 		for (const {works} of this.#plans.values()) {
 			const work = works.get(server.id);
-			if (work !== undefined && !isDone(work)) {
+			if (work !== undefined && !isTaskDone(work)) {
 				board.add(work);
 			}
 		}
 	}
 
-	#forEachBoard(plan: Plan, use: (board: ServerBoard) => void): void {
+	#forEachBoard(plan: Plan, use: (board: ServerLoad) => void): void {
 		for (const id of [plan.server, ...plan.helpers.map(helper => helper.server)]) {
-			const board = this.boards.get(id);
+			const board = this.loads.get(id);
 			if (board !== undefined) {
 				use(board);
 			}
@@ -168,25 +168,25 @@
 }
 
 /** The work of a plan on each of its servers. */
-function createWorks(plan: Plan, {isLong, readTime, findReadEnd}: {isLong: boolean; readTime: number; findReadEnd: (server: BackendServerId) => number}): Map<BackendServerId, Work> {
+function createWorks(plan: Plan, {isLong, prefillTime: prefillTime, findReadEnd}: {isLong: boolean; prefillTime: number; findReadEnd: (server: BackendServerId) => number}): Map<BackendServerId, Task> {
 	const {request, server, helpers} = plan;
 	const work = {
 		planId: plan.planId,
 		isHelper: false,
 		isLong,
 		promptTokens: request.promptTokens,
-		readTime,
+		prefillTime: prefillTime,
 		heldTokens: plan.ownTokens,
 		longestPause: request.longestPause,
 		longestSilence: request.longestSilence,
 		contextTokens: request.promptTokens / (helpers.length + 1),
 		hasStarted: false,
-		hasLostPause: false,
+		hasExceededPause: false,
 	};
-	const works = new Map<BackendServerId, Work>([[server, {...work, readUntil: findReadEnd(server)}]]);
+	const works = new Map<BackendServerId, Task>([[server, {...work, prefillEnd: findReadEnd(server)}]]);
 	for (const helper of helpers) {
 		works.set(helper.server, {
-			...work, readUntil: findReadEnd(helper.server), isHelper: true, heldTokens: helper.heldTokens, contextTokens: 0, promptTokens: 0, longestPause: undefined, longestSilence: undefined,
+			...work, prefillEnd: findReadEnd(helper.server), isHelper: true, heldTokens: helper.heldTokens, contextTokens: 0, promptTokens: 0, longestPause: undefined, longestSilence: undefined,
 		});
 	}
 
--- a/src/planning/credit.ts
+++ b/src/planning/answer-value.ts
@@ -18,7 +18,7 @@
 const baseWorth = 5000;
 
 /** Share of its worth that an answer keeps when it is late: what the customers' sheets state. */
-export const lateShare = 0.25;
+export const lateValueShare = 0.25;
 
 /**
  * What is lost beyond its worth, as a share of it, when an answer that has begun is broken off, and when a caller that came back is turned away again.
@@ -33,12 +33,12 @@
 const leastDoubt = 20;
 
 /** Worth of an answer in time, in tokens. */
-export function computeWorth(promptTokens: number): number {
+export function computeValue(promptTokens: number): number {
 	return promptTokens + baseWorth;
 }
 
 /** Share of its worth that a request loses beyond it when it is not served. */
-export function findStake(request: Pick<PlanRequest, 'hasBegun' | 'hasTried'>): number {
+export function findLossShare(request: Pick<PlanRequest, 'hasBegun' | 'hasTried'>): number {
 	if (request.hasBegun) {
 		return brokenOffLoss;
 	}
@@ -47,12 +47,12 @@
 }
 
 /** Share of its worth that a request is expected to earn when its first event comes after `finish`; all times in milliseconds from now. */
-export function estimateCredit(finish: number, objective: number, patience: number): number {
+export function estimateValueShare(finish: number, objective: number, patience: number): number {
 	if (finish >= patience) {
 		return 0;
 	}
 
 	const doubt = leastDoubt + (relativeDoubt * finish);
 	const inTime = 1 / (1 + Math.exp((finish - objective) / doubt));
-	return lateShare + ((1 - lateShare) * inTime);
+	return lateValueShare + ((1 - lateValueShare) * inTime);
 }
--- a/src/planning/caller-waits.ts
+++ b/src/planning/caller-waits.ts
@@ -30,7 +30,7 @@
 	}
 
 	/** Time for which a caller has tried before this call, in milliseconds; 0 when nothing shows it. */
-	estimateTried(route: string, wait: number): number {
+	estimateElapsed(route: string, wait: number): number {
 		const waits = this.#waits.get(route) ?? [];
 		if (waits.length < leastRemembered) {
 			return 0;
--- a/src/planning/crash-records.ts
+++ b/src/planning/crash-records.ts
@@ -23,7 +23,7 @@
 const correlatedWeight = 0.5;
 
 /** Weight of the crash of a server that ran one request only. */
-export const isolatedWeight = 1.5;
+export const isolatedCrashWeight = 1.5;
 
 /** Maximum number of requests; the oldest are dropped first. */
 const maxFingerprints = 4096;
@@ -35,7 +35,7 @@
 export type CrashReport = {server: BackendServerId; age: number; weight: number};
 
 /** Quarantine state of a request; `rejectedFor` in milliseconds. */
-export type Quarantine = {kind: 'clean' | 'suspect' | 'isolated'; crashes: number} | {kind: 'rejected'; crashes: number; rejectedFor: number};
+export type QuarantineState = {kind: 'clean' | 'suspect' | 'isolated'; crashes: number} | {kind: 'rejected'; crashes: number; rejectedFor: number};
 
 /** Reports of a server's crash within this time of its first one are of the same crash, in milliseconds; a server takes longer to restart and crash again. */
 const sameCrashWithin = 5000;
@@ -72,7 +72,7 @@
 	}
 
 	/** Merges the crashes that another node reports. */
-	learn(fingerprint: RequestFingerprint, crashes: CrashReport[], now: number): void {
+	merge(fingerprint: RequestFingerprint, crashes: CrashReport[], now: number): void {
 		for (const {server, age, weight} of crashes) {
 			this.#add(fingerprint, this.#findCrash(server, now - age), weight);
 		}
@@ -102,7 +102,7 @@
 	}
 
 	/** The quarantine state of a request. */
-	judge(fingerprint: RequestFingerprint | undefined, now: number): Quarantine {
+	classify(fingerprint: RequestFingerprint | undefined, now: number): QuarantineState {
 		const crashes = fingerprint === undefined ? undefined : this.#fingerprints.get(fingerprint);
 		if (crashes === undefined) {
 			return {kind: 'clean', crashes: 0};
--- a/src/planning/engine-model.ts
+++ b/src/planning/engine-model.ts
@@ -10,7 +10,7 @@
 const pairsPerMillion = 1_000_000;
 
 /** Time one server needs to read its even part of a prompt that `parts` servers read together. */
-export function computeReadTime(engine: EngineProfile, promptTokens: number, parts = 1): number {
+export function computePrefillTime(engine: EngineProfile, promptTokens: number, parts = 1): number {
 	const pairs = (promptTokens * promptTokens) / 2;
 	const alone = (promptTokens / engine.readRate) + ((pairs / pairsPerMillion) * engine.timePerMillionPairs);
 	return alone / parts;
--- a/src/planning/find-least.ts
+++ b/src/planning/find-min.ts
@@ -1,5 +1,5 @@
 /** The item with the least cost, the first of equals; undefined for an empty list. */
-export function findLeast<Item>(items: Item[], costOf: (item: Item) => number): Item | undefined {
+export function findMin<Item>(items: Item[], costOf: (item: Item) => number): Item | undefined {
 	let best: Item | undefined;
 	let least = Infinity;
 	for (const item of items) {
--- a/src/planning/fleet-retries.ts
+++ b/src/planning/fleet-retry-budget.ts
@@ -13,9 +13,9 @@
  * Times are monotonic milliseconds.
  */
 import {
-	RetryWindow, type RetryAllowance, type RetryLimits, type RetryShare,
+	RetryWindow, type RetryAllowance, type RetryLimits, type GrantShare,
 } from './retry-window.js';
-import {ToldRetries, type RetryHistory, type Teller} from './told-retries.js';
+import {RetryHistories, type RetryHistory, type ReportingNode} from './retry-histories.js';
 
 /**
  * Shares of the budget: what nodes take alone adds to what the decider grants. The rest is for
@@ -24,8 +24,8 @@
  * five times if it may, through 1,200 drawn series of up to four restarts and cuts, stay within
  * a budget of 148 by 3 at least with these, and pass it by 5 with 0.42 and a head start of 2 s.
  */
-const deciderShare: RetryShare = {ratio: 0.6, slack: 0.35};
-const aloneShare: RetryShare = {ratio: 0.3, slack: 0.08};
+const deciderShare: GrantShare = {ratio: 0.6, slack: 0.35};
+const aloneShare: GrantShare = {ratio: 0.3, slack: 0.08};
 
 /** Time without a request after which a node counts as new in deciding, in milliseconds: a few heartbeats, in which another one may have decided. */
 const longestGap = 2000;
@@ -37,11 +37,11 @@
 const headStart = 3000;
 
 /** A live node, the deciding one among them, and for how long it has been heard of in its present life. */
-export type HeardNode = {life: string; heardFor: number};
+export type LiveNode = {life: string; observedFor: number};
 
 /** How much of the fleet is heard: the others may have a decider of their own. */
-export type FleetReach = {
-	live: HeardNode[];
+export type FleetMembership = {
+	live: LiveNode[];
 	/** Nodes that were heard of lately, live or not, this one among them. */
 	known: number;
 	/** Milliseconds since this node's process started. */
@@ -52,11 +52,11 @@
 type Remembered = {at: number; decider: string; worth: number};
 
 /** Retries of one service. */
-export class FleetRetries {
+export class FleetRetryBudget {
 	readonly #limits: RetryLimits;
 	readonly #fleet: RetryWindow;
 	readonly #own: RetryWindow;
-	readonly #told: ToldRetries;
+	readonly #told: RetryHistories;
 	#requests: Remembered[] = [];
 	#retries: Remembered[] = [];
 	#decidesSince = -Infinity;
@@ -66,17 +66,17 @@
 		this.#limits = limits;
 		this.#fleet = new RetryWindow(limits);
 		this.#own = new RetryWindow(limits);
-		this.#told = new ToldRetries(limits.window);
+		this.#told = new RetryHistories(limits.window);
 	}
 
 	/** Changes how much is allowed. */
-	setAllowed(allowed: RetryAllowance): void {
-		this.#fleet.setAllowed(allowed);
-		this.#own.setAllowed(allowed);
+	setAllowance(allowed: RetryAllowance): void {
+		this.#fleet.setAllowance(allowed);
+		this.#own.setAllowance(allowed);
 	}
 
 	/** Notes a request of any node that this one decides; worth in tokens. */
-	addDecided(now: number, worth: number): void {
+	recordDecided(now: number, worth: number): void {
 		if (now - this.#decidedAt > longestGap) {
 			this.#beginDeciding(now);
 		}
@@ -86,20 +86,20 @@
 	}
 
 	/** Notes a request of this node itself and the life of the node that decides it; worth in tokens. */
-	addOwn(now: number, worth: number, decider: string): void {
+	recordOwn(now: number, worth: number, decider: string): void {
 		this.#own.addRequest(now, worth);
 		this.#requests.push({at: now, decider, worth});
 		this.#forget(now);
 	}
 
 	/** Notes a retry of this node that a node granted out of the fleet's budget, by that one's life. */
-	noteGranted(now: number, decider: string): void {
+	recordGranted(now: number, decider: string): void {
 		this.#retries.push({at: now, decider, worth: 0});
 		this.#forget(now);
 	}
 
 	/** What this node is to tell a node that decides for it from now on. */
-	describeOwn(now: number, {life, age, known}: Teller, decider: string): RetryHistory {
+	describeHistory(now: number, {life, age, known}: ReportingNode, decider: string): RetryHistory {
 		this.#forget(now);
 		const requests = this.#requests.filter(request => request.decider !== decider);
 		const worth = requests.reduce((sum, request) => sum + request.worth, 0);
@@ -115,51 +115,51 @@
 	}
 
 	/** Takes what a node remembers that asks this one from now on. */
-	learn(history: RetryHistory, now: number): void {
-		this.#told.learn(history, now);
+	addHistory(history: RetryHistory, now: number): void {
+		this.#told.add(history, now);
 	}
 
 	/** Grants a retry out of the fleet's budget, as its decider. */
-	grant(now: number, worth: number, reach: FleetReach): boolean {
+	grant(now: number, worth: number, reach: FleetMembership): boolean {
 		return this.#fleet.takeRetry(now, this.#findShare(now, reach), worth, this.#told.count(now));
 	}
 
 	/** Retries that the decider has left to grant. */
-	countLeft(now: number, reach: FleetReach): number {
-		return this.#fleet.countLeft(now, this.#findShare(now, reach), this.#told.count(now));
+	countRemaining(now: number, reach: FleetMembership): number {
+		return this.#fleet.countRemaining(now, this.#findShare(now, reach), this.#told.count(now));
 	}
 
 	/** Takes a retry out of this node's own small part, when no decider answers. */
-	takeAlone(now: number, worth: number, {known, age}: FleetReach): boolean {
+	takeFallback(now: number, worth: number, {known, age}: FleetMembership): boolean {
 		const {ratio, slack} = aloneShare;
 		return this.#own.takeRetry(now, {ratio, slack: slack * this.#measureReach(age) / Math.max(1, known)}, worth);
 	}
 
 	/** What the next grant goes by. */
-	describeBudget(now: number, reach: FleetReach): {requests: number; retries: number; memory: number} {
+	describeBudget(now: number, reach: FleetMembership): {requests: number; retries: number; memory: number} {
 		const [own, told] = [this.#fleet.count(now), this.#told.count(now)];
 		return {requests: own.requests + told.requests, retries: own.retries + told.retries, memory: this.#measureMemory(now, reach)};
 	}
 
 	/** What the decider may grant out of the bounds. */
-	#findShare(now: number, reach: FleetReach): RetryShare {
+	#findShare(now: number, reach: FleetMembership): GrantShare {
 		const {ratio, slack} = deciderShare;
 		return {ratio, slack: slack * this.#measureMemory(now, reach)};
 	}
 
 	#beginDeciding(now: number): void {
 		this.#decidesSince = now;
-		this.#told.forgetBefore(now - longestGap);
+		this.#told.dropBefore(now - longestGap);
 	}
 
 	/** Part of the fleet, from 0 to 1, whose retries of the whole window are counted here. */
-	#measureMemory(now: number, {live, known}: FleetReach): number {
+	#measureMemory(now: number, {live, known}: FleetMembership): number {
 		const hasHeardAll = now - this.#decidesSince >= tellTime;
-		const parts = live.map(({life, heardFor}) => {
-			const age = this.#told.findAge(life, now) ?? (hasHeardAll ? heardFor : undefined);
+		const parts = live.map(({life, observedFor: heardFor}) => {
+			const age = this.#told.computeHistoryAge(life, now) ?? (hasHeardAll ? heardFor : undefined);
 			return age === undefined ? 0 : this.#measureReach(age);
 		});
-		return parts.reduce((sum, part) => sum + part, 0) / Math.max(1, known, this.#told.countKnown());
+		return parts.reduce((sum, part) => sum + part, 0) / Math.max(1, known, this.#told.findMaxKnown());
 	}
 
 	/** Part of the window, from 0 to 1, over which a node's memory reaches back. */
--- a/src/planning/fleet-sight.ts
+++ b/src/planning/fleet-visibility.ts
@@ -9,14 +9,14 @@
  */
 import type {RequestId} from '../common/index.js';
 import type {PlanRequest} from './plan.js';
-import type {ServerBoard} from './server-board.js';
-import {compareServers, type ServerGroups} from './server-shares.js';
+import type {ServerLoad} from './server-load.js';
+import {compareServers, type ServerGroups} from './server-partition.js';
 
 /** Nodes of the fleet whose plans a deciding node sees, itself among them, and those that it knows of. A node that decides because no other one answers sees its own alone. */
-export type FleetSight = {seen: number; known: number};
+export type FleetVisibility = {seen: number; known: number};
 
 /** The sight of a node that decides for all. */
-export const wholeSight: FleetSight = {seen: 1, known: 1};
+export const fullVisibility: FleetVisibility = {seen: 1, known: 1};
 
 /** Share of the fleet below which a node sees little: others place most of what runs. */
 const seeingShare = 0.5;
@@ -31,21 +31,21 @@
 const lateReadShare = 0.5;
 
 /** Time after which a prompt that waits so asks again, in milliseconds: about a pass. */
-export const sightAskPause = 60;
+export const visibilityRetryDelay = 60;
 
 /** How a planner decides while its node sees little of the fleet. */
-export class DimSight {
+export class LimitedVisibility {
 	#since = -Infinity;
 	#noticedAt = -Infinity;
 	#isDim = false;
 
 	/** Whether others place most of what runs. */
-	get isDim(): boolean {
+	get isLimited(): boolean {
 		return this.#isDim;
 	}
 
 	/** Notes what the node sees; called for each request. */
-	notice({seen, known}: FleetSight, now: number): void {
+	update({seen, known}: FleetVisibility, now: number): void {
 		this.#isDim = seen < known * seeingShare;
 		if (!this.#isDim) {
 			return;
@@ -65,16 +65,16 @@
 }
 
 /** Divides servers between long and short prompts where no demand is known, each group beginning at another server for each request: nodes that see the same servers free do not all take the first. */
-export function divideUnseen(usable: ServerBoard[], requestId: RequestId): ServerGroups {
+export function divideWithoutDemand(usable: ServerLoad[], requestId: RequestId): ServerGroups {
 	const border = Math.ceil(usable.length * longShare);
 	const ordered = [...usable].sort(compareServers);
-	const forLong = spreadServers(ordered.slice(0, border), requestId);
-	const forShort = spreadServers(ordered.slice(border), requestId);
+	const forLong = rotateServers(ordered.slice(0, border), requestId);
+	const forShort = rotateServers(ordered.slice(border), requestId);
 	return {forLong, forShort: forShort.length > 0 ? forShort : forLong};
 }
 
 /** The servers in their order, beginning at another one for each request. */
-export function spreadServers(boards: ServerBoard[], requestId: RequestId): ServerBoard[] {
+export function rotateServers(boards: ServerLoad[], requestId: RequestId): ServerLoad[] {
 	const first = Math.floor(computeShare(requestId) * boards.length);
 	return [...boards.slice(first), ...boards.slice(0, first)];
 }
--- a/src/planning/trials.ts
+++ b/src/planning/isolation-trials.ts
@@ -1,7 +1,7 @@
 /** Servers that are kept free for requests that may end them, one request at a server. Pure. */
 import type {BackendServerId, RequestFingerprint, PlanId} from '../common/index.js';
-import {findLeast} from './find-least.js';
-import type {ServerBoard} from './server-board.js';
+import {findMin} from './find-min.js';
+import type {ServerLoad} from './server-load.js';
 
 /** One in so many servers is kept free at most, and never the only one. */
 const serversForTrial = 6;
@@ -11,22 +11,22 @@
 const keptFor = 300;
 
 /** Time after which a request that waits for its server asks again, in milliseconds. */
-export const trialAskPause = 40;
+export const trialRetryDelay = 40;
 
 /** A server that is kept free for a request, or runs it. */
 type Trial = {fingerprint: RequestFingerprint; askedAt: number; planId?: PlanId};
 
 /** Trials of one service. */
-export class Trials {
+export class IsolationTrials {
 	readonly #trials = new Map<BackendServerId, Trial>();
 
 	/** Whether a server is kept for a trial: nothing else goes there. */
-	isKept(server: BackendServerId): boolean {
+	isReserved(server: BackendServerId): boolean {
 		return this.#trials.has(server);
 	}
 
 	/** The server that a request may have for itself; undefined while there is none. `all` counts the servers of the service. */
-	find(fingerprint: RequestFingerprint, usable: ServerBoard[], all: number, now: number): ServerBoard | undefined {
+	findServer(fingerprint: RequestFingerprint, usable: ServerLoad[], all: number, now: number): ServerLoad | undefined {
 		this.#prune(now);
 		const kept = this.#findKept(fingerprint);
 		if (kept !== undefined) {
@@ -34,7 +34,7 @@
 			trial.askedAt = now;
 			const board = usable.find(candidate => candidate.server.id === server);
 			// One try of a request at a time, and none beside others.
-			return trial.planId === undefined && board?.workCount === 0 ? board : undefined;
+			return trial.planId === undefined && board?.taskCount === 0 ? board : undefined;
 		}
 
 		const free = usable.filter(board => !this.#trials.has(board.server.id));
@@ -42,13 +42,13 @@
 			return undefined;
 		}
 
-		const board = findLeast(free, candidate => candidate.workCount)!;
+		const board = findMin(free, candidate => candidate.taskCount)!;
 		this.#trials.set(board.server.id, {fingerprint, askedAt: now});
-		return board.workCount === 0 ? board : undefined;
+		return board.taskCount === 0 ? board : undefined;
 	}
 
 	/** Notes the plan that runs at the server kept for it. */
-	begin(server: BackendServerId, planId: PlanId): void {
+	recordStart(server: BackendServerId, planId: PlanId): void {
 		const trial = this.#trials.get(server);
 		if (trial !== undefined) {
 			trial.planId = planId;
@@ -56,7 +56,7 @@
 	}
 
 	/** Frees the server of a plan that has ended. */
-	end(planId: PlanId): void {
+	release(planId: PlanId): void {
 		for (const [server, trial] of this.#trials) {
 			if (trial.planId === planId) {
 				this.#trials.delete(server);
--- a/src/planning/limited-line.ts
+++ b/src/planning/limit-queue.ts
@@ -12,7 +12,7 @@
 const longestReturn = 30_000;
 
 /** Requests in the order in which they joined. */
-export class LimitedLine {
+export class LimitQueue {
 	/** When each request last asked. */
 	readonly #waiting = new Map<RequestId, number>();
 	#returnsUntil = -Infinity;
@@ -46,7 +46,7 @@
 	}
 
 	/** Time after which a rejected request should return: `delay` for the first one, spread by `interval` for those after it. */
-	scheduleReturn(delay: number, interval: number, now: number): number {
+	scheduleRetry(delay: number, interval: number, now: number): number {
 		const latest = now + longestReturn;
 		this.#returnsUntil = Math.min(latest, Math.max(now + delay, this.#returnsUntil + interval));
 		return this.#returnsUntil - now;
--- a/src/planning/read-overrun.ts
+++ b/src/planning/overrun-estimator.ts
@@ -23,7 +23,7 @@
 const shortestRead = 400;
 
 /** Overruns of the last long reads. */
-export class ReadOverrun {
+export class OverrunEstimator {
 	readonly #seen: number[] = [];
 
 	/** Notes how long a read took to its first event; both times in milliseconds. */
--- a/src/planning/plan.ts
+++ b/src/planning/plan.ts
@@ -10,7 +10,7 @@
  * Sooner, planned reads move the streams of whole servers; later, too little time is left to move them: of 40 replayed
  * days 0.914 of the worth was brought with 0.65, 0.907 with 0.45 and 0.911 with 0.8.
  */
-export const moveShare = 0.65;
+export const moveSilenceShare = 0.65;
 
 /** A request for a place. Times in milliseconds, counted from the moment of asking. */
 export type PlanRequest = {
@@ -66,7 +66,7 @@
 };
 
 /** Whether a request asks for the first time: neither while it waits nor for another try. */
-export function isFirstAsk({waited, excluded}: PlanRequest): boolean {
+export function isFirstAttempt({waited, excluded}: PlanRequest): boolean {
 	return waited === 0 && excluded.length === 0;
 }
 
@@ -103,7 +103,7 @@
 export type WaitReason = 'reading' | 'writers' | 'memory' | 'sight' | 'trial' | 'limit';
 
 /** How a plan went on, told by the node that carries it out. */
-export type PlanNote =
+export type PlanEvent =
 	| {planId: PlanId; kind: 'started'}
 	/** `wasAnswered` when its server gave an answer to the end, and lives; `isUnanswered` when it was sent and stopped or broken off: its server may have crashed. */
 	| {planId: PlanId; kind: 'ended'; wasAnswered?: boolean; isUnanswered?: boolean}
@@ -114,7 +114,7 @@
 	| {planId: PlanId; kind: 'survived'; fingerprint: RequestFingerprint};
 
 /** A read that took longer than was planned with, times in milliseconds; `overrun` is the share by which it was allowed to. */
-export type LongerRead = {plan: Plan; predicted: number; took: number; overrun: number};
+export type OverrunReport = {plan: Plan; predicted: number; took: number; allowedOverrun: number};
 
 /** What went wrong with a server, as its callers see it: full, not reached, silent, or a failed answer. */
 export type Trouble = 'full' | 'unreached' | 'silent' | 'spoiled';
--- a/src/planning/planner.ts
+++ b/src/planning/planner.ts
@@ -14,25 +14,25 @@
 	createFailure, type AvailabilityZone, type BackendServerId, type BoxId, type RequestFingerprint, type Failure, type IdSource, type PlanId,
 } from '../common/index.js';
 import type {BackendServer, EngineProfile} from '../routing/index.js';
-import {AbandonedRuns} from './abandoned-runs.js';
+import {AbandonedAttempts} from './abandoned-attempts.js';
 import {CallerWaits} from './caller-waits.js';
-import {computeReadTime} from './engine-model.js';
-import {findLeast} from './find-least.js';
-import {HeldPlans, type HeldPlan} from './held-plans.js';
+import {computePrefillTime} from './engine-model.js';
+import {findMin} from './find-min.js';
+import {ActivePlans, type ActivePlan} from './active-plans.js';
 import {
-	DimSight, divideUnseen, sightAskPause, spreadServers, wholeSight, type FleetSight,
-} from './fleet-sight.js';
+	LimitedVisibility, divideWithoutDemand, visibilityRetryDelay, rotateServers, fullVisibility, type FleetVisibility,
+} from './fleet-visibility.js';
 import type {
-	Decision, LongerRead, Plan, PlanNote, PlanRequest,
+	Decision, OverrunReport, Plan, PlanEvent, PlanRequest,
 } from './plan.js';
-import {describeOverload, LongReads} from './long-reads.js';
-import type {ServerBoard} from './server-board.js';
+import {createOverloadFailure, PrefillScheduler} from './prefill-scheduler.js';
+import type {ServerLoad} from './server-load.js';
 import {LimitGate} from './limit-gate.js';
 import type {ServerLimits} from './server-limits.js';
-import {ServerShares, type ServerGroups} from './server-shares.js';
+import {ServerPartition, type ServerGroups} from './server-partition.js';
 import {placeShort} from './short-placement.js';
-import {CrashRecords, isolatedWeight, type Quarantine} from './crash-records.js';
-import {trialAskPause, Trials} from './trials.js';
+import {CrashRecords, isolatedCrashWeight, type QuarantineState} from './crash-records.js';
+import {trialRetryDelay, IsolationTrials} from './isolation-trials.js';
 
 /** A prompt whose read takes more than this share of the shortest pause is long. */
 const longReadShare = 0.75;
@@ -51,7 +51,7 @@
 };
 
 /** What a planner has put on a server, and how far it trusts it. */
-export type ServerWork = {
+export type PlannedServerStatus = {
 	server: BackendServerId;
 	availabilityZone: AvailabilityZone;
 	/** Requests, those among them that write or are about to, and how many it takes at once. */
@@ -71,7 +71,7 @@
 	isDoubtful: boolean;
 };
 
-function describeRejection({crashes, rejectedFor}: Extract<Quarantine, {kind: 'rejected'}>): Failure {
+function describeRejection({crashes, rejectedFor}: Extract<QuarantineState, {kind: 'rejected'}>): Failure {
 	return createFailure('ends_servers', `${crashes} backend servers have ended while they ran this request; it is not sent to another one`, {retryAfterSeconds: Math.ceil(rejectedFor / 1000)});
 }
 
@@ -80,15 +80,15 @@
 	/** Requests that have crashed servers. */
 	readonly crashRecords = new CrashRecords();
 	readonly #ids: IdSource;
-	readonly #held = new HeldPlans();
-	readonly #reads = new LongReads();
+	readonly #held = new ActivePlans();
+	readonly #reads = new PrefillScheduler();
 	readonly #callerWaits = new CallerWaits();
 	#engine: EngineProfile | undefined;
 	#shortestPause = defaultPause;
-	readonly #shares = new ServerShares();
-	readonly #sight = new DimSight();
-	readonly #trials = new Trials();
-	readonly #abandoned = new AbandonedRuns();
+	readonly #shares = new ServerPartition();
+	readonly #sight = new LimitedVisibility();
+	readonly #trials = new IsolationTrials();
+	readonly #abandoned = new AbandonedAttempts();
 	readonly #gate = new LimitGate();
 
 	constructor(parts: PlannerParts) {
@@ -117,22 +117,22 @@
 	}
 
 	/** What is planned on each server, and how far it is trusted: the busiest first, so many at most. */
-	describeServers(now: number, most: number): ServerWork[] {
-		return [...this.#held.boards.values()]
-			.sort((left, right) => right.workCount - left.workCount)
+	describeServers(now: number, most: number): PlannedServerStatus[] {
+		return [...this.#held.loads.values()]
+			.sort((left, right) => right.taskCount - left.taskCount)
 			.slice(0, most)
 			.map(board => ({
 				server: board.server.id,
 				availabilityZone: board.server.availabilityZone,
-				work: board.workCount,
+				work: board.taskCount,
 				writers: board.writers,
 				slots: board.server.slots,
 				heldTokens: Math.round(board.heldTokens),
-				readFor: Math.round(board.findPendingRead(now)),
-				restsFor: Math.round(board.health.findRest(now)),
+				readFor: Math.round(board.computePendingPrefill(now)),
+				restsFor: Math.round(board.health.computeBackoffLeft(now)),
 				requestLimit: this.limits.findRate(board.server.id),
-				spoiled: Math.round(board.health.findSpoiled(now) * 100) / 100,
-				isDoubtful: board.health.isDoubtful(now),
+				spoiled: Math.round(board.health.computeFailureShare(now) * 100) / 100,
+				isDoubtful: board.health.isUnreliable(now),
 			}));
 	}
 
@@ -147,19 +147,19 @@
 	 *
 	 * `limitShare` is the part of the servers' limits, from 0 to 1, that is granted here.
 	 */
-	decide(asked: PlanRequest, now: number, sight: FleetSight = wholeSight, limitShare = 1): Either<Failure, Decision> {
+	decide(asked: PlanRequest, now: number, sight: FleetVisibility = fullVisibility, limitShare = 1): Either<Failure, Decision> {
 		this.prune(now);
 		const request = this.#countEarlierTries(asked);
 		if (request.longestPause !== undefined) {
 			this.#shortestPause = Math.min(this.#shortestPause, request.longestPause);
 		}
 
-		this.#sight.notice(sight, now);
+		this.#sight.update(sight, now);
 		if (request.fingerprint !== undefined && request.crashes !== undefined) {
-			this.crashRecords.learn(request.fingerprint, request.crashes, now);
+			this.crashRecords.merge(request.fingerprint, request.crashes, now);
 		}
 
-		const quarantine = this.crashRecords.judge(request.fingerprint, now);
+		const quarantine = this.crashRecords.classify(request.fingerprint, now);
 		if (quarantine.kind === 'rejected') {
 			return Left(describeRejection(quarantine));
 		}
@@ -170,18 +170,18 @@
 		}
 
 		const gated = {request, usable, share: limitShare};
-		const open = this.#gate.listOpen(gated, now);
+		const open = this.#gate.listAvailable(gated, now);
 		if (open.length === 0) {
-			return this.#gate.wait(gated, now);
+			return this.#gate.queueOrReject(gated, now);
 		}
 
-		const planned = quarantine.kind === 'isolated' && this.#held.boards.size > 1
+		const planned = quarantine.kind === 'isolated' && this.#held.loads.size > 1
 			? this.#planIsolated(request, open, now)
 			: this.#planBeside(request, open, now);
 		return planned.map(decision => {
 			if (decision.kind === 'plan') {
 				this.#hold(decision.plan, now, true);
-				this.#gate.pass(gated, decision.plan.server, now);
+				this.#gate.recordSent(gated, decision.plan.server, now);
 				return quarantine.crashes === 0 ? decision : this.#addCrashes(decision.plan, now);
 			}
 
@@ -199,7 +199,7 @@
 	}
 
 	/** Takes a note on how a plan went on; says so when a long read took longer than was planned with. */
-	note(note: PlanNote, now: number): LongerRead | undefined {
+	recordEvent(note: PlanEvent, now: number): OverrunReport | undefined {
 		if (note.kind === 'server_ended') {
 			this.crashRecords.recordCrash(note.server, note.fingerprint, this.#weighCrash(note.server, note.fingerprint), now);
 			return undefined;
@@ -211,10 +211,10 @@
 		}
 
 		if (note.kind === 'failed') {
-			const board = this.#held.boards.get(note.server);
+			const board = this.#held.loads.get(note.server);
 			// A server that was given a long read is silent while it reads, and none the worse for it.
-			if (note.trouble !== 'silent' || !board?.hasReadLately(now)) {
-				board?.health.recordTrouble(note.trouble, now);
+			if (note.trouble !== 'silent' || !board?.hasRecentLongPrefill(now)) {
+				board?.health.recordFailure(note.trouble, now);
 			}
 
 			return undefined;
@@ -243,13 +243,13 @@
 	}
 
 	/** Forgets the unanswered attempts at a server that leaves as planned. */
-	forgetAbandoned(server: BackendServerId, now: number): void {
+	dropAbandoned(server: BackendServerId, now: number): void {
 		this.#abandoned.take(server, now);
 	}
 
 	/** Forgets the plans of a node that is gone. It reports no crash under them any more. */
-	forgetNode(node: BoxId, now: number): void {
-		for (const plan of this.#held.listOfNode(node)) {
+	releaseNode(node: BoxId, now: number): void {
+		for (const plan of this.#held.listByNode(node)) {
 			this.#release(plan.planId);
 			this.#noteAbandoned(plan, now);
 		}
@@ -273,29 +273,29 @@
 		}
 	}
 
-	#noteStart(planId: PlanId, now: number): LongerRead | undefined {
-		const held = this.#held.start(planId, now);
+	#noteStart(planId: PlanId, now: number): OverrunReport | undefined {
+		const held = this.#held.recordStart(planId, now);
 		if (held === undefined) {
 			return undefined;
 		}
 
-		this.#held.boards.get(held.plan.server)?.health.recordSuccess(now);
+		this.#held.loads.get(held.plan.server)?.health.recordSuccess(now);
 		return this.#noteRead(held, now);
 	}
 
 	/** Plans that another planner made say nothing of when they were to be sent. */
-	#noteRead({plan, since, isShort, isDecidedHere}: HeldPlan, now: number): LongerRead | undefined {
+	#noteRead({plan, since, isShort, isDecidedHere}: ActivePlan, now: number): OverrunReport | undefined {
 		if (isShort || !isDecidedHere || plan.request.promptTokens === 0) {
 			return undefined;
 		}
 
 		const predicted = plan.expectedFirst - plan.startIn;
 		const took = now - since - plan.startIn;
-		const overrun = this.#reads.noteRead(predicted, took);
+		const overrun = this.#reads.recordPrefill(predicted, took);
 		return overrun === undefined
 			? undefined
 			: {
-				plan, predicted, took, overrun,
+				plan, predicted, took, allowedOverrun: overrun,
 			};
 	}
 
@@ -310,19 +310,19 @@
 			this.#callerWaits.add(route, callerWaits);
 		}
 
-		const tried = this.#callerWaits.estimateTried(route, callerWaits);
+		const tried = this.#callerWaits.estimateElapsed(route, callerWaits);
 		return {...request, objective: objective - tried, hasTried: tried > 0};
 	}
 
-	#listUsable(request: PlanRequest, quarantine: Quarantine, now: number): ServerBoard[] {
+	#listUsable(request: PlanRequest, quarantine: QuarantineState, now: number): ServerLoad[] {
 		const {excluded, failedAt = []} = request;
-		const all = [...this.#held.boards.values()];
+		const all = [...this.#held.loads.values()];
 		const others = all.filter(board => !excluded.includes(board.server.id));
 		// The next answer of a server that failed a request may be whole, and without another one the request fails for certain.
 		const boards = others.length > 0 ? others : all.filter(board => failedAt.includes(board.server.id));
-		const rested = boards.filter(board => !board.health.isResting(now));
-		const trusted = rested.filter(board => board.health.mayTake(board.workCount, now));
-		const isFor = (board: ServerBoard) => quarantine.kind === 'isolated' || !this.#trials.isKept(board.server.id);
+		const rested = boards.filter(board => !board.health.isBackingOff(now));
+		const trusted = rested.filter(board => board.health.mayTake(board.taskCount, now));
+		const isFor = (board: ServerLoad) => quarantine.kind === 'isolated' || !this.#trials.isReserved(board.server.id);
 		// Any server is better than none: suspicion may be wrong for all of them at once.
 		return [trusted.filter(board => isFor(board)), rested.filter(board => isFor(board)), trusted, rested, boards].find(list => list.length > 0) ?? [];
 	}
@@ -333,62 +333,62 @@
 		return {kind: 'plan', plan: {...plan, request: {...request, crashes: this.crashRecords.describe(request.fingerprint!, now)}}};
 	}
 
-	#planBeside(request: PlanRequest, usable: ServerBoard[], now: number): Either<Failure, Decision> {
+	#planBeside(request: PlanRequest, usable: ServerLoad[], now: number): Either<Failure, Decision> {
 		return this.#engine === undefined || request.promptTokens === 0
 			? this.#planPlain(request, usable, now)
 			: this.#planPrompt(request, usable, this.#engine, now);
 	}
 
 	/** Isolates a request that crashed servers on a server of its own. */
-	#planIsolated(request: PlanRequest, usable: ServerBoard[], now: number): Either<Failure, Decision> {
-		if (request.patience <= trialAskPause) {
+	#planIsolated(request: PlanRequest, usable: ServerLoad[], now: number): Either<Failure, Decision> {
+		if (request.patience <= trialRetryDelay) {
 			return Left(createFailure('overloaded', 'servers ended while they ran this request, and none is free to run it by itself'));
 		}
 
-		const board = this.#trials.find(request.fingerprint!, usable, this.#held.boards.size, now);
+		const board = this.#trials.findServer(request.fingerprint!, usable, this.#held.loads.size, now);
 		if (board === undefined) {
-			return Right({kind: 'wait', askAgainIn: trialAskPause, reason: 'trial'});
+			return Right({kind: 'wait', askAgainIn: trialRetryDelay, reason: 'trial'});
 		}
 
 		const isPrompt = this.#engine !== undefined && request.promptTokens > 0;
-		const expectedFirst = isPrompt ? computeReadTime(this.#engine!, request.promptTokens) : 0;
+		const expectedFirst = isPrompt ? computePrefillTime(this.#engine!, request.promptTokens) : 0;
 		const decision = this.#createPlan(request, board.server.id, {expectedFirst, ownTokens: isPrompt ? request.promptTokens + request.outputTokens : 0});
-		this.#trials.begin(board.server.id, decision.plan.planId);
+		this.#trials.recordStart(board.server.id, decision.plan.planId);
 		return Right(decision);
 	}
 
 	/** A server that takes no new work may leave as planned, which is no crash. */
 	#noteAbandoned({server, request: {fingerprint}}: Plan, now: number): void {
-		if (fingerprint !== undefined && this.#held.boards.has(server)) {
+		if (fingerprint !== undefined && this.#held.loads.has(server)) {
 			this.#abandoned.add(server, fingerprint, now);
 		}
 	}
 
 	/** The weight of a crash for a request: none for one that runs on all servers. */
 	#weighCrash(server: BackendServerId, fingerprint: RequestFingerprint): number {
-		if (this.#trials.isKept(server)) {
-			return isolatedWeight;
+		if (this.#trials.isReserved(server)) {
+			return isolatedCrashWeight;
 		}
 
 		const places = this.#held.findServers(fingerprint);
 		places.delete(server);
-		return 1 - (places.size / Math.max(1, this.#held.boards.size));
+		return 1 - (places.size / Math.max(1, this.#held.loads.size));
 	}
 
-	#planPlain(request: PlanRequest, usable: ServerBoard[], now: number): Either<Failure, Decision> {
-		const ordered = this.#sight.isDim ? spreadServers(usable, request.requestId) : usable;
-		const best = findLeast(ordered, board => (board.workCount / board.server.slots) + board.health.findSpoiled(now))!;
+	#planPlain(request: PlanRequest, usable: ServerLoad[], now: number): Either<Failure, Decision> {
+		const ordered = this.#sight.isLimited ? rotateServers(usable, request.requestId) : usable;
+		const best = findMin(ordered, board => (board.taskCount / board.server.slots) + board.health.computeFailureShare(now))!;
 		return Right(this.#createPlan(request, best.server.id, {expectedFirst: 0}));
 	}
 
-	#planPrompt(request: PlanRequest, usable: ServerBoard[], engine: EngineProfile, now: number): Either<Failure, Decision> {
-		const groups = this.#sight.isDim ? divideUnseen(usable, request.requestId) : this.#shares.divide([...this.#held.boards.values()], usable, engine, now);
-		const readTime = computeReadTime(engine, request.promptTokens);
+	#planPrompt(request: PlanRequest, usable: ServerLoad[], engine: EngineProfile, now: number): Either<Failure, Decision> {
+		const groups = this.#sight.isLimited ? divideWithoutDemand(usable, request.requestId) : this.#shares.divide([...this.#held.loads.values()], usable, engine, now);
+		const readTime = computePrefillTime(engine, request.promptTokens);
 		const isLong = readTime > longReadShare * this.#shortestPause;
 		if (isLong) {
-			this.#shares.noteLong(request, readTime, now);
+			this.#shares.recordLong(request, readTime, now);
 			if (this.#sight.shouldWait(request, readTime, now)) {
-				return Right({kind: 'wait', askAgainIn: sightAskPause, reason: 'sight'});
+				return Right({kind: 'wait', askAgainIn: visibilityRetryDelay, reason: 'sight'});
 			}
 
 			return this.#planLong(request, [...new Set([...groups.forLong, ...groups.forShort])], engine, now);
@@ -400,13 +400,13 @@
 	#planShort(request: PlanRequest, groups: ServerGroups, engine: EngineProfile, now: number): Either<Failure, Decision> {
 		const best = placeShort(request, groups, engine, now);
 		if (best.finish > request.patience) {
-			return Left(describeOverload(best.finish - request.patience));
+			return Left(createOverloadFailure(best.finish - request.patience));
 		}
 
-		return Right(this.#createPlan(request, best.board.server.id, {expectedFirst: best.finish, ownTokens: request.promptTokens + request.outputTokens}));
+		return Right(this.#createPlan(request, best.load.server.id, {expectedFirst: best.finish, ownTokens: request.promptTokens + request.outputTokens}));
 	}
 
-	#planLong(request: PlanRequest, servers: ServerBoard[], engine: EngineProfile, now: number): Either<Failure, Decision> {
+	#planLong(request: PlanRequest, servers: ServerLoad[], engine: EngineProfile, now: number): Either<Failure, Decision> {
 		return this.#reads.decide(request, servers, engine, now).map(decision => decision.kind === 'wait'
 			? decision
 			: this.#createPlan(request, decision.server, decision.parts));
@@ -429,17 +429,17 @@
 	#hold(plan: Plan, now: number, isDecidedHere: boolean): void {
 		const {promptTokens} = plan.request;
 		const engine = promptTokens > 0 ? this.#engine : undefined;
-		const isLong = engine !== undefined && computeReadTime(engine, promptTokens) > longReadShare * this.#shortestPause;
-		const {isShort} = this.#held.hold(plan, {engine, isLong, isDecidedHere}, now);
+		const isLong = engine !== undefined && computePrefillTime(engine, promptTokens) > longReadShare * this.#shortestPause;
+		const {isShort} = this.#held.add(plan, {engine, isLong, isDecidedHere}, now);
 		if (isShort) {
 			this.#shares.addShort();
 		}
 	}
 
-	#release(planId: PlanId): HeldPlan | undefined {
+	#release(planId: PlanId): ActivePlan | undefined {
 		const held = this.#held.release(planId);
 		if (held !== undefined) {
-			this.#trials.end(planId);
+			this.#trials.release(planId);
 		}
 
 		if (held?.isShort) {
--- a/src/planning/read-ways.ts
+++ b/src/planning/prefill-options.ts
@@ -6,12 +6,12 @@
  * bring in it.
  */
 import type {EngineProfile} from '../routing/index.js';
-import {computeWorth, estimateCredit, findStake} from './credit.js';
-import {computePassTime, computeReadTime} from './engine-model.js';
-import {findLeast} from './find-least.js';
+import {computeValue, estimateValueShare, findLossShare} from './answer-value.js';
+import {computePassTime, computePrefillTime} from './engine-model.js';
+import {findMin} from './find-min.js';
 import type {PlannedPause, PlanRequest} from './plan.js';
-import {mostReaders, type ReadDemand} from './read-demand.js';
-import type {ServerBoard} from './server-board.js';
+import {maxPrefillServers, type PrefillDemand} from './prefill-demand.js';
+import type {ServerLoad} from './server-load.js';
 
 /** What a read leaves of the pause that callers accept, in milliseconds: a short read beside it and the way of an event. */
 export const pauseMargin = 40;
@@ -26,16 +26,16 @@
 const pressureShare = 0.5;
 
 /** Numbers of servers that are tried, each by about a third more than the one before. With one server for each read 80 replayed days bring 0.62 of the worth for 0.82. */
-const readerCounts = [1, 2, 3, 4, 6, 8, 12, mostReaders];
+const readerCounts = [1, 2, 3, 4, 6, 8, 12, maxPrefillServers];
 
 /** A server and when it may begin to read, in milliseconds from now. */
-export type Opening = {board: ServerBoard; freeIn: number};
+export type AvailableServer = {load: ServerLoad; freeIn: number};
 
 /** A way to read a prompt; times in milliseconds from now, worth in tokens. */
-export type ReadWay = {
-	readers: ServerBoard[];
+export type PrefillOption = {
+	servers: ServerLoad[];
 	wait: number;
-	readTime: number;
+	prefillTime: number;
 	/** When the first event is due. */
 	finish: number;
 	/** What those who write at the readers lose. */
@@ -50,23 +50,23 @@
 export type WayParts = {
 	request: PlanRequest;
 	engine: EngineProfile;
-	demand: ReadDemand;
+	demand: PrefillDemand;
 	/** Worth that others who wait lose with each millisecond. */
-	pressure: number;
+	waitingLoss: number;
 	/** Share by which a read may be longer than predicted. */
 	overrun: number;
 	now: number;
 };
 
-type Candidate = Opening & {harm: number};
+type Candidate = AvailableServer & {harm: number};
 
 /** The way that brings most; undefined when none brings anything. */
-export function findBestWay(openings: Opening[], parts: WayParts): ReadWay | undefined {
+export function findBestOption(openings: AvailableServer[], parts: WayParts): PrefillOption | undefined {
 	const byTime = [...openings].sort((left, right) => left.freeIn - right.freeIn);
-	const utilisation = Math.max(parts.demand.countServers(parts.now) / openings.length, computeOccupancy(openings, parts.engine));
-	const seen = demandShare * parts.demand.computeWorthRate(parts.now) * Math.min(1, utilisation);
-	const timePrice = Math.max(seen, pressureShare * parts.pressure) / openings.length;
-	let best: ReadWay | undefined;
+	const utilisation = Math.max(parts.demand.countBusyServers(parts.now) / openings.length, computeOccupancy(openings, parts.engine));
+	const seen = demandShare * parts.demand.computeValueRate(parts.now) * Math.min(1, utilisation);
+	const timePrice = Math.max(seen, pressureShare * parts.waitingLoss) / openings.length;
+	let best: PrefillOption | undefined;
 	for (const count of readerCounts) {
 		if (count > byTime.length) {
 			break;
@@ -84,21 +84,21 @@
 }
 
 /** Share of the servers' places that are taken. */
-function computeOccupancy(openings: Opening[], engine: EngineProfile): number {
-	const writers = openings.reduce((sum, {board}) => sum + board.writers, 0);
+function computeOccupancy(openings: AvailableServer[], engine: EngineProfile): number {
+	const writers = openings.reduce((sum, {load: board}) => sum + board.writers, 0);
 	return writers / (engine.slots * openings.length);
 }
 
 /** The earliest choice of so many servers, and the earliest that hurts nobody. Servers whose writers would be moved for their silence are none. */
-function listChoices(byTime: Opening[], count: number, {engine, request, overrun}: WayParts): Candidate[][] {
-	const part = computeReadTime(engine, request.promptTokens, count);
+function listChoices(byTime: AvailableServer[], count: number, {engine, request, overrun}: WayParts): Candidate[][] {
+	const part = computePrefillTime(engine, request.promptTokens, count);
 	const pause = part + pauseMargin;
-	const bearing = byTime.filter(({board}) => board.bearsRead(engine, pause, overrun));
+	const bearing = byTime.filter(({load: board}) => board.canAbsorbPrefill(engine, pause, overrun));
 	if (bearing.length < count) {
 		return [];
 	}
 
-	const candidates = bearing.map(({board, freeIn}) => ({board, freeIn, harm: board.estimateHarm(engine, pause)}));
+	const candidates = bearing.map(({load: load, freeIn}) => ({load: load, freeIn, harm: load.estimateStallLoss(engine, pause)}));
 	const harmless = candidates.filter(candidate => candidate.harm === 0).slice(0, count);
 	const latest = candidates[count - 1].freeIn;
 	// Of the servers that are free by then, those where least is lost.
@@ -106,24 +106,24 @@
 	return harmless.length === count ? [earliest, harmless] : [earliest];
 }
 
-function describeWay(chosen: Candidate[], {request, engine}: WayParts, timePrice: number): ReadWay {
-	const part = computeReadTime(engine, request.promptTokens, chosen.length);
+function describeWay(chosen: Candidate[], {request, engine}: WayParts, timePrice: number): PrefillOption {
+	const part = computePrefillTime(engine, request.promptTokens, chosen.length);
 	const wait = Math.max(...chosen.map(candidate => candidate.freeIn));
-	const readTime = part + Math.max(...chosen.map(candidate => candidate.board.computePass(engine, 0)));
+	const readTime = part + Math.max(...chosen.map(candidate => candidate.load.computePassTime(engine, 0)));
 	const finish = wait + readTime + computePassTime(engine, 1, request.promptTokens / chosen.length);
 	const harm = chosen.reduce((sum, candidate) => sum + candidate.harm, 0);
-	const credit = estimateCredit(finish, request.objective, request.patience);
-	const stake = credit > 0 ? findStake(request) : 0;
+	const credit = estimateValueShare(finish, request.objective, request.patience);
+	const stake = credit > 0 ? findLossShare(request) : 0;
 	const wholeObjective = Math.max(1, request.objective + request.waited);
 	const delay = delayCost * credit * Math.min(1, finish / wholeObjective);
 	const costs = harm + (chosen.length * readTime * timePrice);
 	return {
-		readers: chosen.map(candidate => candidate.board), wait, readTime, finish, harm, pause: findWorstPause(chosen, engine, part),
-		value: (computeWorth(request.promptTokens) * (credit - delay + stake)) - costs,
+		servers: chosen.map(candidate => candidate.load), wait, prefillTime: readTime, finish, harm, pause: findWorstPause(chosen, engine, part),
+		value: (computeValue(request.promptTokens) * (credit - delay + stake)) - costs,
 	};
 }
 
 function findWorstPause(chosen: Candidate[], engine: EngineProfile, part: number): PlannedPause | undefined {
-	const pauses = chosen.map(({board}) => board.findPause(engine, part)).filter(pause => pause !== undefined);
-	return findLeast(pauses, ({length, bearable}) => bearable / length);
+	const pauses = chosen.map(({load: board}) => board.computePause(engine, part)).filter(pause => pause !== undefined);
+	return findMin(pauses, ({length, bearable}) => bearable / length);
 }
--- a/src/planning/read-line.ts
+++ b/src/planning/prefill-queue.ts
@@ -7,9 +7,9 @@
  */
 import type {RequestId} from '../common/index.js';
 import type {EngineProfile} from '../routing/index.js';
-import {computeWorth} from './credit.js';
-import {computeReadTime} from './engine-model.js';
-import {findLeast} from './find-least.js';
+import {computeValue} from './answer-value.js';
+import {computePrefillTime} from './engine-model.js';
+import {findMin} from './find-min.js';
 import type {PlanRequest} from './plan.js';
 
 /** Time without asking again after which a request has left, in milliseconds: well above the longest pause between asks. */
@@ -22,7 +22,7 @@
 type Waiting = {request: PlanRequest; askedAt: number; due: number};
 
 /** Requests that wait to be read. */
-export class ReadLine {
+export class PrefillQueue {
 	readonly #waiting = new Map<RequestId, Waiting>();
 
 	/** How many wait. */
@@ -50,11 +50,11 @@
 	}
 
 	/** Worth that those who wait lose with each millisecond: what they bring, spread over the time until they are late. */
-	computePressure(requestId: RequestId, now: number): number {
+	computeWaitingLoss(requestId: RequestId, now: number): number {
 		let pressure = 0;
 		for (const {request, due} of this.#waiting.values()) {
 			if (request.requestId !== requestId && due > now) {
-				pressure += computeWorth(request.promptTokens) / Math.max(shortestSlack, due - now);
+				pressure += computeValue(request.promptTokens) / Math.max(shortestSlack, due - now);
 			}
 		}
 
@@ -70,7 +70,7 @@
 
 	#order(engine: EngineProfile, servers: number, now: number): Waiting[] {
 		const byDue = [...this.#waiting.values()].sort((left, right) => left.due - right.due);
-		const computeRead = (waiting: Waiting) => computeReadTime(engine, waiting.request.promptTokens, servers);
+		const computeRead = (waiting: Waiting) => computePrefillTime(engine, waiting.request.promptTokens, servers);
 		const inTime: Waiting[] = [];
 		const late: Waiting[] = [];
 		let end = now;
@@ -78,7 +78,7 @@
 			inTime.push(waiting);
 			end += computeRead(waiting);
 			while (end > waiting.due && inTime.length > 0) {
-				const least = findLeast(inTime, candidate => computeDensity(candidate, engine))!;
+				const least = findMin(inTime, candidate => computeDensity(candidate, engine))!;
 				inTime.splice(inTime.indexOf(least), 1);
 				late.push(least);
 				end -= computeRead(least);
@@ -91,7 +91,7 @@
 
 /** Worth for each millisecond of reading. */
 function computeDensity({request}: Waiting, engine: EngineProfile): number {
-	return computeWorth(request.promptTokens) / computeReadTime(engine, request.promptTokens);
+	return computeValue(request.promptTokens) / computePrefillTime(engine, request.promptTokens);
 }
 
 function passTime(request: PlanRequest, time: number): PlanRequest {
--- a/src/planning/long-reads.ts
+++ b/src/planning/prefill-scheduler.ts
@@ -7,16 +7,16 @@
 import {Left, Right, type Either} from 'purify-ts';
 import {createFailure, type BackendServerId, type Failure} from '../common/index.js';
 import type {EngineProfile} from '../routing/index.js';
-import {computePassTime, computeReadTime} from './engine-model.js';
+import {computePassTime, computePrefillTime} from './engine-model.js';
 import type {Plan, PlanRequest, WaitReason} from './plan.js';
-import {mostReaders, ReadDemand} from './read-demand.js';
-import {ReadLine} from './read-line.js';
-import {ReadOverrun} from './read-overrun.js';
+import {maxPrefillServers, PrefillDemand} from './prefill-demand.js';
+import {PrefillQueue} from './prefill-queue.js';
+import {OverrunEstimator} from './overrun-estimator.js';
 import {
-	findBestWay, pauseMargin, type Opening, type ReadWay,
-} from './read-ways.js';
+	findBestOption, pauseMargin, type AvailableServer, type PrefillOption,
+} from './prefill-options.js';
 import {divideMemory} from './prompt-memory.js';
-import type {ServerBoard} from './server-board.js';
+import type {ServerLoad} from './server-load.js';
 
 /** A long read is planned at most this long before its servers are free, in milliseconds: later plans see more, and passes are about this long. */
 const planAhead = 60;
@@ -56,10 +56,10 @@
 	| {kind: 'wait'; askAgainIn: number; reason: WaitReason};
 
 /** Long prompts of one service. */
-export class LongReads {
-	readonly #line = new ReadLine();
-	readonly #demand = new ReadDemand();
-	readonly #overrun = new ReadOverrun();
+export class PrefillScheduler {
+	readonly #line = new PrefillQueue();
+	readonly #demand = new PrefillDemand();
+	readonly #overrun = new OverrunEstimator();
 
 	/** Prompts that wait to be read, also those that have left and were not missed yet. */
 	get waitingCount(): number {
@@ -67,10 +67,10 @@
 	}
 
 	/** Decides for one request; it keeps its place in line by asking again. */
-	decide(request: PlanRequest, servers: ServerBoard[], engine: EngineProfile, now: number): Either<Failure, ReadDecision> {
+	decide(request: PlanRequest, servers: ServerLoad[], engine: EngineProfile, now: number): Either<Failure, ReadDecision> {
 		this.#demand.add(request, engine, now);
 		this.#line.join(request, now);
-		const openings = servers.map(board => ({board, freeIn: board.findLongReadEnd(now) - now}));
+		const openings = servers.map(load => ({load: load, freeIn: load.findLongPrefillEnd(now) - now}));
 		this.#occupyAhead(openings, request, engine, now);
 		const way = this.#findWay(openings, request, engine, now);
 		if (way === undefined) {
@@ -91,7 +91,7 @@
 	}
 
 	/** Notes how long a read took from its planned start to its first event; both times in milliseconds. Says by which share it may be longer than predicted when it was. */
-	noteRead(predicted: number, took: number): number | undefined {
+	recordPrefill(predicted: number, took: number): number | undefined {
 		const planned = this.#overrun.share;
 		this.#overrun.add(predicted, took);
 		return took > predicted * (1 + planned) ? planned : undefined;
@@ -103,8 +103,8 @@
 	}
 
 	/** Those ahead take their servers first. */
-	#occupyAhead(openings: Opening[], request: PlanRequest, engine: EngineProfile, now: number): void {
-		const most = Math.min(openings.length, mostReaders);
+	#occupyAhead(openings: AvailableServer[], request: PlanRequest, engine: EngineProfile, now: number): void {
+		const most = Math.min(openings.length, maxPrefillServers);
 		for (const ahead of this.#line.listAhead(request.requestId, engine, most, now).slice(0, mostAhead)) {
 			const way = this.#findWay(openings, ahead, engine, now);
 			if (way !== undefined) {
@@ -113,17 +113,17 @@
 		}
 	}
 
-	#findWay(openings: Opening[], request: PlanRequest, engine: EngineProfile, now: number): ReadWay | undefined {
-		return findBestWay(openings, {
-			request, engine, demand: this.#demand, pressure: this.#line.computePressure(request.requestId, now), overrun: this.#overrun.share, now,
+	#findWay(openings: AvailableServer[], request: PlanRequest, engine: EngineProfile, now: number): PrefillOption | undefined {
+		return findBestOption(openings, {
+			request, engine, demand: this.#demand, waitingLoss: this.#line.computeWaitingLoss(request.requestId, now), overrun: this.#overrun.share, now,
 		});
 	}
 
 	/** Whether a read is late anyway and may be so long that its caller leaves, while all servers together would read in less than half of the time once their writers have ended. */
-	#mayOutlastCaller(way: ReadWay, request: PlanRequest, engine: EngineProfile, servers: ServerBoard[]): boolean {
+	#mayOutlastCaller(way: PrefillOption, request: PlanRequest, engine: EngineProfile, servers: ServerLoad[]): boolean {
 		const overrun = this.#overrun.share;
-		const part = computeReadTime(engine, request.promptTokens, Math.min(servers.length, mostReaders));
-		if (servers.every(board => board.bearsRead(engine, part + pauseMargin, overrun))) {
+		const part = computePrefillTime(engine, request.promptTokens, Math.min(servers.length, maxPrefillServers));
+		if (servers.every(board => board.canAbsorbPrefill(engine, part + pauseMargin, overrun))) {
 			return false;
 		}
 
@@ -141,25 +141,25 @@
 
 		this.#line.leave(request.requestId);
 		return Left(least > request.patience
-			? describeOverload(least - request.patience)
+			? createOverloadFailure(least - request.patience)
 			: createFailure('overloaded', 'reading the prompt late would cost others more than it brings', {retryAfterSeconds: holdUpRetry}));
 	}
 }
 
 /** Time to the first event when as many servers as may read together, in milliseconds. */
 function computeLeastFinish({promptTokens}: PlanRequest, engine: EngineProfile, servers: number): number {
-	const readers = Math.min(servers, mostReaders);
-	return computeReadTime(engine, promptTokens, readers) + computePassTime(engine, 1, promptTokens / readers);
+	const readers = Math.min(servers, maxPrefillServers);
+	return computePrefillTime(engine, promptTokens, readers) + computePassTime(engine, 1, promptTokens / readers);
 }
 
 /** A refusal of what would come too late; `excess` in milliseconds. */
-export function describeOverload(excess: number): Failure {
+export function createOverloadFailure(excess: number): Failure {
 	const retryAfterSeconds = Math.max(0.1, excess / 1000);
 	return createFailure('overloaded', `no backend server can begin in time; it would be ${Math.round(excess)} ms too late`, {retryAfterSeconds});
 }
 
-function describeRead(way: ReadWay, request: PlanRequest, engine: EngineProfile): ReadDecision {
-	const memory = divideMemory(way.readers, request, engine);
+function describeRead(way: PrefillOption, request: PlanRequest, engine: EngineProfile): ReadDecision {
+	const memory = divideMemory(way.servers, request, engine);
 	if (memory === undefined) {
 		return {kind: 'wait', askAgainIn: planAhead, reason: 'memory'};
 	}
@@ -174,10 +174,10 @@
 }
 
 /** Marks the readers of a way as taken until it has read. */
-function occupy(openings: Opening[], way: ReadWay): void {
+function occupy(openings: AvailableServer[], way: PrefillOption): void {
 	for (const opening of openings) {
-		if (way.readers.includes(opening.board)) {
-			opening.freeIn = way.wait + way.readTime;
+		if (way.servers.includes(opening.load)) {
+			opening.freeIn = way.wait + way.prefillTime;
 		}
 	}
 }
--- a/src/planning/told-retries.ts
+++ b/src/planning/retry-histories.ts
@@ -21,15 +21,15 @@
 };
 
 /** Who tells a history. */
-export type Teller = Pick<RetryHistory, 'life' | 'age' | 'known'>;
+export type ReportingNode = Pick<RetryHistory, 'life' | 'age' | 'known'>;
 
 /** Requests, retries and worth of a window. */
-export type WindowCounts = {requests: number; retries: number; worth: number};
+export type WindowCounts = {requests: number; retries: number; value: number};
 
 type ToldHistory = RetryHistory & {toldAt: number};
 
 /** The histories that a deciding node was told. */
-export class ToldRetries {
+export class RetryHistories {
 	readonly #window: number;
 	readonly #histories = new Map<string, ToldHistory>();
 
@@ -38,12 +38,12 @@
 	}
 
 	/** Takes a history in place of an earlier one of the same life. */
-	learn(history: RetryHistory, now: number): void {
+	add(history: RetryHistory, now: number): void {
 		this.#histories.set(history.life, {...history, toldAt: now});
 	}
 
 	/** Forgets what was told before a moment: other nodes may have decided since. */
-	forgetBefore(moment: number): void {
+	dropBefore(moment: number): void {
 		for (const [life, {toldAt}] of this.#histories) {
 			if (toldAt < moment) {
 				this.#histories.delete(life);
@@ -53,7 +53,7 @@
 
 	/** What was told and lies in the window still. */
 	count(now: number): WindowCounts {
-		const counts = {requests: 0, retries: 0, worth: 0};
+		const counts = {requests: 0, retries: 0, value: 0};
 		for (const [life, history] of this.#histories) {
 			const passed = now - history.toldAt;
 			if (passed > this.#window) {
@@ -65,19 +65,19 @@
 			const requests = countIn(history.requests);
 			counts.requests += requests;
 			counts.retries += countIn(history.retries);
-			counts.worth += requests * history.meanWorth;
+			counts.value += requests * history.meanWorth;
 		}
 
 		return counts;
 	}
 
 	/** The most nodes that any of them knows of. */
-	countKnown(): number {
+	findMaxKnown(): number {
 		return Math.max(0, ...[...this.#histories.values()].map(history => history.known));
 	}
 
 	/** How far back a node's memory reaches that has told it, in milliseconds; undefined for one that has not. */
-	findAge(life: string, now: number): number | undefined {
+	computeHistoryAge(life: string, now: number): number | undefined {
 		const history = this.#histories.get(life);
 		return history === undefined ? undefined : history.age + now - history.toldAt;
 	}
--- a/src/planning/retry-window.ts
+++ b/src/planning/retry-window.ts
@@ -3,13 +3,13 @@
  *
  * Times are monotonic milliseconds.
  */
-import type {WindowCounts} from './told-retries.js';
+import type {WindowCounts} from './retry-histories.js';
 
 /** Part of a budget that is kept for retries that bring more than the mean request: a lost giant must not find it spent on short ones. */
 const keptForMore = 0.25;
 
 /** Counts of nobody. */
-const nothing: WindowCounts = {requests: 0, retries: 0, worth: 0};
+const nothing: WindowCounts = {requests: 0, retries: 0, value: 0};
 
 /** Bounds of retries for a service, over the whole fleet. */
 export type RetryLimits = {
@@ -25,7 +25,7 @@
 export type RetryAllowance = Pick<RetryLimits, 'ratio' | 'slack'>;
 
 /** What part of the bounds may be spent by whoever counts: shares of each, from 0 to 1. */
-export type RetryShare = {ratio: number; slack: number};
+export type GrantShare = {ratio: number; slack: number};
 
 /** Retries of one service as one node counts them. */
 export class RetryWindow {
@@ -39,7 +39,7 @@
 	}
 
 	/** Changes how much is allowed; what was counted stays, and the window's length with it. */
-	setAllowed({ratio, slack}: RetryAllowance): void {
+	setAllowance({ratio, slack}: RetryAllowance): void {
 		this.#limits = {ratio, slack, window: this.#limits.window};
 	}
 
@@ -51,12 +51,12 @@
 	}
 
 	/** Takes one retry of a request that is worth so much; false when the share is spent. `elsewhere`: what others have counted of the same window. */
-	takeRetry(now: number, share: RetryShare, worth: number, elsewhere: WindowCounts = nothing): boolean {
+	takeRetry(now: number, share: GrantShare, worth: number, elsewhere: WindowCounts = nothing): boolean {
 		this.#forget(now);
 		const requests = this.#requests.length + elsewhere.requests;
 		const allowed = this.#computeAllowed(share, requests);
 		// Without requests to compare with, every one counts as bringing more.
-		const bringsMore = worth * requests >= this.#worth + elsewhere.worth;
+		const bringsMore = worth * requests >= this.#worth + elsewhere.value;
 		const open = allowed * (bringsMore ? 1 : 1 - keptForMore);
 		if (this.#retries.length + elsewhere.retries + 1 > open) {
 			return false;
@@ -67,7 +67,7 @@
 	}
 
 	/** Retries that are left for requests that bring more than the mean. */
-	countLeft(now: number, share: RetryShare, elsewhere: WindowCounts = nothing): number {
+	countRemaining(now: number, share: GrantShare, elsewhere: WindowCounts = nothing): number {
 		this.#forget(now);
 		const allowed = this.#computeAllowed(share, this.#requests.length + elsewhere.requests);
 		return Math.max(0, Math.floor(allowed - this.#retries.length - elsewhere.retries));
@@ -76,10 +76,10 @@
 	/** What was counted of the window that ends now. */
 	count(now: number): WindowCounts {
 		this.#forget(now);
-		return {requests: this.#requests.length, retries: this.#retries.length, worth: this.#worth};
+		return {requests: this.#requests.length, retries: this.#retries.length, value: this.#worth};
 	}
 
-	#computeAllowed(share: RetryShare, requests: number): number {
+	#computeAllowed(share: GrantShare, requests: number): number {
 		return (share.ratio * this.#limits.ratio * requests) + (share.slack * this.#limits.slack);
 	}
 
--- a/src/planning/server-health.ts
+++ b/src/planning/server-health.ts
@@ -38,44 +38,44 @@
 	#isOnProbation = false;
 
 	/** Whether the server is left alone at the moment. */
-	isResting(now: number): boolean {
+	isBackingOff(now: number): boolean {
 		return now < this.#restingUntil;
 	}
 
 	/** For how long the server is left alone from now on, in milliseconds. */
-	findRest(now: number): number {
+	computeBackoffLeft(now: number): number {
 		return Math.max(0, this.#restingUntil - now);
 	}
 
 	/** Smoothed share of answers that were spoiled, from 0 to 1. Doubt fades: a doubted server gets no work that could show that it is well. */
-	findSpoiled(now: number): number {
+	computeFailureShare(now: number): number {
 		return this.#spoiled > spoiledShare
 			? this.#spoiled * (0.5 ** (Math.max(0, now - this.#spoiledAt) / this.#halfLife))
 			: this.#spoiled;
 	}
 
 	/** Whether so many answers are spoiled that others come first. */
-	isDoubtful(now: number): boolean {
-		return this.findSpoiled(now) > spoiledShare;
+	isUnreliable(now: number): boolean {
+		return this.computeFailureShare(now) > spoiledShare;
 	}
 
 	/** Whether it is trusted with one more request beside so many. One that was doubted is tried with one at a time. */
 	mayTake(work: number, now: number): boolean {
-		return !this.isDoubtful(now) && (!this.#isOnProbation || work === 0);
+		return !this.isUnreliable(now) && (!this.#isOnProbation || work === 0);
 	}
 
 	/** Notes a whole answer. */
 	recordSuccess(now: number): void {
 		this.#rest = firstRest;
-		this.#setSpoiled(this.findSpoiled(now) * (1 - smoothing), now);
-		if (!this.isDoubtful(now)) {
+		this.#setSpoiled(this.computeFailureShare(now) * (1 - smoothing), now);
+		if (!this.isUnreliable(now)) {
 			this.#isOnProbation = false;
 			this.#halfLife = firstHalfLife;
 		}
 	}
 
 	/** Notes trouble; returns whether the server is now left alone. */
-	recordTrouble(trouble: Trouble, now: number): boolean {
+	recordFailure(trouble: Trouble, now: number): boolean {
 		if (trouble === 'full') {
 			this.#restingUntil = Math.max(this.#restingUntil, now + fullRest);
 			return false;
@@ -83,12 +83,12 @@
 
 		// Requests that were sent before the rest began found the same silence. With connections that had fallen silent
 		// together, three of them counted one by one took a server out for as long as another one was trusted.
-		if (trouble === 'silent' && this.isResting(now)) {
+		if (trouble === 'silent' && this.isBackingOff(now)) {
 			return false;
 		}
 
 		this.#noteSpoiled(now);
-		if (trouble === 'spoiled' || this.isResting(now)) {
+		if (trouble === 'spoiled' || this.isBackingOff(now)) {
 			return false;
 		}
 
@@ -98,13 +98,13 @@
 	}
 
 	#noteSpoiled(now: number): void {
-		const hadFaded = this.#isOnProbation && !this.isDoubtful(now);
-		this.#setSpoiled((this.findSpoiled(now) * (1 - smoothing)) + smoothing, now);
+		const hadFaded = this.#isOnProbation && !this.isUnreliable(now);
+		this.#setSpoiled((this.computeFailureShare(now) * (1 - smoothing)) + smoothing, now);
 		if (hadFaded) {
 			this.#halfLife = Math.min(longestHalfLife, this.#halfLife * 2);
 		}
 
-		this.#isOnProbation ||= this.isDoubtful(now);
+		this.#isOnProbation ||= this.isUnreliable(now);
 	}
 
 	#setSpoiled(share: number, now: number): void {
--- a/src/planning/server-limits.ts
+++ b/src/planning/server-limits.ts
@@ -29,7 +29,7 @@
 const liftMemory = 10_000;
 
 /** A limit as nodes report it; without a rate it was lifted. `age` in milliseconds. */
-export type NamedLimit = {server: BackendServerId; requestsPerSecond?: number; age: number};
+export type ReportedLimit = {server: BackendServerId; requestsPerSecond?: number; age: number};
 
 type Bucket = {rate: number | undefined; namedAt: number; tokens: number; filledAt: number};
 
@@ -38,7 +38,7 @@
 	readonly #buckets = new Map<BackendServerId, Bucket>();
 
 	/** Takes a report; returns whether it changed the limit. Older reports than the known one are ignored. */
-	learn({server, requestsPerSecond, age}: NamedLimit, now: number): boolean {
+	update({server, requestsPerSecond, age}: ReportedLimit, now: number): boolean {
 		const known = this.#buckets.get(server);
 		const namedAt = now - age;
 		this.#prune(now);
@@ -64,7 +64,7 @@
 	}
 
 	/** All limits, and those lifted lately, to be reported to other nodes. */
-	describe(now: number): NamedLimit[] {
+	describe(now: number): ReportedLimit[] {
 		return [...this.#buckets]
 			.filter(([, {rate, namedAt}]) => rate !== undefined || now - namedAt < liftMemory)
 			.map(([server, {rate, namedAt}]) => ({server, requestsPerSecond: rate, age: Math.round(now - namedAt)}));
@@ -82,7 +82,7 @@
 	}
 
 	/** Time until a server may be sent one more request. */
-	measureDelay(server: BackendServerId, share: number, now: number): number {
+	computeDelay(server: BackendServerId, share: number, now: number): number {
 		const missing = 1 - this.countTokens(server, share, now);
 		return missing <= 0 ? 0 : missing / this.findGrantedRate(server, share) * 1000;
 	}
--- a/src/planning/server-board.ts
+++ b/src/planning/server-load.ts
@@ -5,22 +5,22 @@
  */
 import type {PlanId} from '../common/index.js';
 import type {BackendServer, EngineProfile} from '../routing/index.js';
-import {computeWorth, lateShare} from './credit.js';
+import {computeValue, lateValueShare} from './answer-value.js';
 import {computePassTime} from './engine-model.js';
 import type {PlannedPause} from './plan.js';
 import {ServerHealth} from './server-health.js';
 
 /** One request's work on a server. */
-export type Work = {
+export type Task = {
 	planId: PlanId;
 	/** Whether it only reads a part here and writes elsewhere. */
 	isHelper: boolean;
 	/** Whether its reading takes a server for itself. */
 	isLong: boolean;
 	/** When its reading is expected to be done. */
-	readUntil: number;
+	prefillEnd: number;
 	/** Time of its reading here. */
-	readTime: number;
+	prefillTime: number;
 	/** Memory it holds here, in tokens. */
 	heldTokens: number;
 	/** Longest pause that its caller accepts while it writes here; undefined for helpers. */
@@ -34,22 +34,22 @@
 	/** Whether its first event has been seen. */
 	hasStarted: boolean;
 	/** Whether a pass that was planned was longer than its caller accepts: longer ones cost it nothing more. */
-	hasLostPause: boolean;
+	hasExceededPause: boolean;
 };
 
 /** Notes that the first event of a request was seen: its reading is done. */
-export function startWork(work: Work, now: number): void {
+export function markTaskStarted(work: Task, now: number): void {
 	work.hasStarted = true;
-	work.readUntil = Math.min(work.readUntil, now);
+	work.prefillEnd = Math.min(work.prefillEnd, now);
 }
 
 /** Whether nothing of it is left at its server: a helper that holds no memory has only read. */
-export function isDone({hasStarted, isHelper, heldTokens}: Work): boolean {
+export function isTaskDone({hasStarted, isHelper, heldTokens}: Task): boolean {
 	return hasStarted && isHelper && heldTokens === 0;
 }
 
 /** Whether its prompt is still read, as far as is known. */
-function isReading({hasStarted, readUntil}: Work, now: number): boolean {
+function isReading({hasStarted, prefillEnd: readUntil}: Task, now: number): boolean {
 	return !hasStarted && readUntil > now;
 }
 
@@ -69,11 +69,11 @@
 const readMemory = 1500;
 
 /** The work of one server. */
-export class ServerBoard {
+export class ServerLoad {
 	readonly health = new ServerHealth();
-	readonly #works = new Map<PlanId, Work>();
+	readonly #works = new Map<PlanId, Task>();
 	/** Work whose reading may not be done yet, in the order in which it came. */
-	#reading: Work[] = [];
+	#reading: Task[] = [];
 	#summary: Summary | undefined;
 	#lastLongReadEnd = -Infinity;
 
@@ -85,7 +85,7 @@
 	}
 
 	/** All work, helpers too. */
-	get workCount(): number {
+	get taskCount(): number {
 		return this.#works.size;
 	}
 
@@ -95,24 +95,24 @@
 	}
 
 	/** Adds work. */
-	add(work: Work): void {
+	add(work: Task): void {
 		this.#works.set(work.planId, work);
 		this.#reading.push(work);
 		this.#summary = undefined;
 		if (work.isLong) {
-			this.#lastLongReadEnd = Math.max(this.#lastLongReadEnd, work.readUntil);
+			this.#lastLongReadEnd = Math.max(this.#lastLongReadEnd, work.prefillEnd);
 		}
 	}
 
 	/** Notes that the first event of a request was seen: its reading is done everywhere. */
-	start(planId: PlanId, now: number): void {
+	markStarted(planId: PlanId, now: number): void {
 		const work = this.#works.get(planId);
 		if (work === undefined) {
 			return;
 		}
 
-		startWork(work, now);
-		if (isDone(work)) {
+		markTaskStarted(work, now);
+		if (isTaskDone(work)) {
 			this.remove(planId);
 		}
 	}
@@ -125,9 +125,9 @@
 	}
 
 	/** Time of reading still to be done from now on, short and long. */
-	findPendingRead(now: number): number {
+	computePendingPrefill(now: number): number {
 		let sum = 0;
-		for (const {readTime, readUntil} of this.#listReading(now)) {
+		for (const {prefillTime: readTime, prefillEnd: readUntil} of this.#listReading(now)) {
 			sum += Math.min(readTime, readUntil - now);
 		}
 
@@ -135,9 +135,9 @@
 	}
 
 	/** When the last long read here is expected to be done; now, when there is none. */
-	findLongReadEnd(now: number): number {
+	findLongPrefillEnd(now: number): number {
 		let end = now;
-		for (const {isLong, readUntil} of this.#listReading(now)) {
+		for (const {isLong, prefillEnd: readUntil} of this.#listReading(now)) {
 			if (isLong) {
 				end = Math.max(end, readUntil);
 			}
@@ -147,7 +147,7 @@
 	}
 
 	/** Whether a long read here is under way or was due to end a moment ago: it explains a silence. Without it 80 replayed days bring 0.796 for 0.804, servers left alone for nothing. */
-	hasReadLately(now: number): boolean {
+	hasRecentLongPrefill(now: number): boolean {
 		return now < this.#lastLongReadEnd + readMemory;
 	}
 
@@ -156,8 +156,8 @@
 	 *
 	 * Without it 80 replayed days bring 0.717 of the worth for 0.823.
 	 */
-	estimateHarm(engine: EngineProfile, readTime: number): number {
-		const pass = this.computePass(engine, 0) + readTime;
+	estimateStallLoss(engine: EngineProfile, readTime: number): number {
+		const pass = this.computePassTime(engine, 0) + readTime;
 		let lost = 0;
 		for (const pause of this.#summarise().pauses) {
 			if (pause.longest >= pass) {
@@ -177,35 +177,35 @@
 	 * their callers leave. Without it 64 replayed days whose servers differ from their figures by up to 15 in 100 bring
 	 * 0.748 of the worth for 0.760, with 2,955 moves for 956 and 1,465 callers that leave for 778.
 	 */
-	bearsRead(engine: EngineProfile, readTime: number, overrun: number): boolean {
-		const pause = this.findPause(engine, readTime);
+	canAbsorbPrefill(engine: EngineProfile, readTime: number, overrun: number): boolean {
+		const pause = this.computePause(engine, readTime);
 		return pause === undefined || pause.length * (1 + overrun) <= pause.bearable;
 	}
 
 	/** The silence that a pass makes which reads for so long besides; undefined when nobody writes here whose callers leave for it. */
-	findPause(engine: EngineProfile, readTime: number): PlannedPause | undefined {
+	computePause(engine: EngineProfile, readTime: number): PlannedPause | undefined {
 		const {longestSilence} = this.#summarise();
-		return longestSilence === Infinity ? undefined : {length: this.computePass(engine, 0) + readTime, bearable: longestSilence};
+		return longestSilence === Infinity ? undefined : {length: this.computePassTime(engine, 0) + readTime, bearable: longestSilence};
 	}
 
 	/** Notes that a pass reads for so long: whose pause that is too long for has no more to lose. Without it 0.832 for 0.840. */
-	markPauses(engine: EngineProfile, readTime: number): void {
-		const pass = this.computePass(engine, 0) + readTime;
+	markExceededPauses(engine: EngineProfile, readTime: number): void {
+		const pass = this.computePassTime(engine, 0) + readTime;
 		for (const work of this.#works.values()) {
-			work.hasLostPause ||= work.longestPause !== undefined && work.longestPause < pass;
+			work.hasExceededPause ||= work.longestPause !== undefined && work.longestPause < pass;
 		}
 
 		this.#summary = undefined;
 	}
 
 	/** Time of a pass over those that write here, with one more of so many tokens. */
-	computePass(engine: EngineProfile, moreContext: number): number {
+	computePassTime(engine: EngineProfile, moreContext: number): number {
 		const {writers, contextTokens} = this.#summarise();
 		return computePassTime(engine, writers + (moreContext > 0 ? 1 : 0), contextTokens + moreContext);
 	}
 
 	/** Work that is still read: what has been read once is not looked at again, while an answer is written for many seconds and each decision asks all servers. */
-	#listReading(now: number): Work[] {
+	#listReading(now: number): Task[] {
 		if (this.#reading.some(work => !isReading(work, now))) {
 			this.#reading = this.#reading.filter(work => isReading(work, now));
 		}
@@ -219,7 +219,7 @@
 	}
 }
 
-function summariseWorks(works: Work[]): Summary {
+function summariseWorks(works: Task[]): Summary {
 	const summary: Summary = {
 		writers: 0, contextTokens: 0, heldTokens: 0, pauses: [], longestSilence: Infinity,
 	};
@@ -227,13 +227,13 @@
 		summary.writers += work.isHelper ? 0 : 1;
 		summary.contextTokens += work.contextTokens;
 		summary.heldTokens += work.heldTokens;
-		const worth = computeWorth(work.promptTokens);
-		if (work.longestPause !== undefined && !work.hasLostPause) {
-			summary.pauses.push({longest: work.longestPause, lost: worth * (1 - lateShare)});
+		const worth = computeValue(work.promptTokens);
+		if (work.longestPause !== undefined && !work.hasExceededPause) {
+			summary.pauses.push({longest: work.longestPause, lost: worth * (1 - lateValueShare)});
 		}
 
 		if (work.longestSilence !== undefined) {
-			summary.pauses.push({longest: work.longestSilence, lost: worth * lateShare});
+			summary.pauses.push({longest: work.longestSilence, lost: worth * lateValueShare});
 			summary.longestSilence = Math.min(summary.longestSilence, work.longestSilence);
 		}
 	}
--- a/src/planning/server-shares.ts
+++ b/src/planning/server-partition.ts
@@ -6,7 +6,7 @@
  */
 import type {EngineProfile} from '../routing/index.js';
 import type {PlanRequest} from './plan.js';
-import type {ServerBoard} from './server-board.js';
+import type {ServerLoad} from './server-load.js';
 
 /** Share of a server's places that short requests fill before the next server is opened to them, while no long prompt is asked for: their reads collide less. One server more is open then. */
 const loosePacking = 0.5;
@@ -31,10 +31,10 @@
 const demandMemory = 10_000;
 
 /** The servers open to each kind of request. */
-export type ServerGroups = {forLong: ServerBoard[]; forShort: ServerBoard[]};
+export type ServerGroups = {forLong: ServerLoad[]; forShort: ServerLoad[]};
 
 /** Divides servers by what is asked for. Undivided, 80 replayed days bring 0.801 of the worth for 0.823: writers everywhere leave no server that bears a long read. */
-export class ServerShares {
+export class ServerPartition {
 	readonly #longReads: Array<{at: number; readTime: number}> = [];
 	#shortWriters = 0;
 
@@ -54,7 +54,7 @@
 	}
 
 	/** A request is demand when it comes, not each time it asks again. */
-	noteLong(request: PlanRequest, readTime: number, now: number): void {
+	recordLong(request: PlanRequest, readTime: number, now: number): void {
 		if (request.waited === 0) {
 			this.#longReads.push({at: now, readTime});
 		}
@@ -65,7 +65,7 @@
 	 *
 	 * A kind whose servers all rest gets the others.
 	 */
-	divide(all: ServerBoard[], usable: ServerBoard[], engine: EngineProfile, now: number): ServerGroups {
+	divide(all: ServerLoad[], usable: ServerLoad[], engine: EngineProfile, now: number): ServerGroups {
 		const border = Math.max(1, all.length - this.#countShortServers(all.length, engine, now));
 		const longServers = new Set(all.sort(compareServers).slice(0, border));
 		const forLong = usable.filter(board => longServers.has(board));
@@ -102,6 +102,6 @@
 }
 
 /** The fixed order of servers. */
-export function compareServers(left: ServerBoard, right: ServerBoard): number {
+export function compareServers(left: ServerLoad, right: ServerLoad): number {
 	return left.server.id < right.server.id ? -1 : 1;
 }
--- a/src/planning/short-placement.ts
+++ b/src/planning/short-placement.ts
@@ -1,12 +1,12 @@
 /** Where a short request runs. Pure. */
 import type {EngineProfile} from '../routing/index.js';
-import {computeWorth, estimateCredit} from './credit.js';
-import {computeReadTime} from './engine-model.js';
-import {findLeast} from './find-least.js';
+import {computeValue, estimateValueShare} from './answer-value.js';
+import {computePrefillTime} from './engine-model.js';
+import {findMin} from './find-min.js';
 import type {PlanRequest} from './plan.js';
-import {memoryShare} from './prompt-memory.js';
-import type {ServerBoard} from './server-board.js';
-import type {ServerGroups} from './server-shares.js';
+import {usableMemoryShare} from './prompt-memory.js';
+import type {ServerLoad} from './server-load.js';
+import type {ServerGroups} from './server-partition.js';
 
 /** Passes that a request waits for each one too many on a server: about a tenth of a short answer. */
 const overfullPasses = 4;
@@ -21,31 +21,31 @@
 const zoneCost = 0.002;
 
 /** A server that a short request may go to; `finish` is when its first event is due, in milliseconds, `cost` less what it brings, in tokens. */
-export type ShortPlace = {board: ServerBoard; cost: number; finish: number};
+export type ShortPlace = {load: ServerLoad; cost: number; finish: number};
 
 /** The server where a short request brings most: an early first event, and no pause too long for those who write there. */
 export function placeShort(request: PlanRequest, groups: ServerGroups, engine: EngineProfile, now: number): ShortPlace {
-	const weigh = (board: ServerBoard) => weighPlace(board, request, engine, now);
-	const best = findLeast(groups.forShort.map(board => weigh(board)), place => place.cost)!;
-	if (best.cost < computeWorth(request.promptTokens) * -goodShare) {
+	const weigh = (board: ServerLoad) => weighPlace(board, request, engine, now);
+	const best = findMin(groups.forShort.map(board => weigh(board)), place => place.cost)!;
+	if (best.cost < computeValue(request.promptTokens) * -goodShare) {
 		return best;
 	}
 
 	// Servers kept for long prompts are taken where those for short ones would be late.
-	return findLeast([best, ...groups.forLong.map(board => weigh(board))], place => place.cost)!;
+	return findMin([best, ...groups.forLong.map(board => weigh(board))], place => place.cost)!;
 }
 
-function weighPlace(board: ServerBoard, request: PlanRequest, engine: EngineProfile, now: number): ShortPlace {
-	const readTime = computeReadTime(engine, request.promptTokens);
-	const worth = computeWorth(request.promptTokens);
-	const pass = board.computePass(engine, request.promptTokens);
-	const pending = board.findPendingRead(now);
+function weighPlace(board: ServerLoad, request: PlanRequest, engine: EngineProfile, now: number): ShortPlace {
+	const readTime = computePrefillTime(engine, request.promptTokens);
+	const worth = computeValue(request.promptTokens);
+	const pass = board.computePassTime(engine, request.promptTokens);
+	const pending = board.computePendingPrefill(now);
 	const overfull = Math.max(0, board.writers + 1 - engine.slots);
-	const lacksRoom = board.heldTokens + request.promptTokens + request.outputTokens > engine.memoryTokens * memoryShare;
+	const lacksRoom = board.heldTokens + request.promptTokens + request.outputTokens > engine.memoryTokens * usableMemoryShare;
 	const finish = pending + (overfull * pass * overfullPasses) + (lacksRoom ? request.patience : 0) + pass + readTime;
-	const harm = board.estimateHarm(engine, pending + readTime);
-	const earned = estimateCredit(finish, request.objective, request.patience) * (1 - board.health.findSpoiled(now));
+	const harm = board.estimateStallLoss(engine, pending + readTime);
+	const earned = estimateValueShare(finish, request.objective, request.patience) * (1 - board.health.computeFailureShare(now));
 	const delay = delayCost * finish / Math.max(pass, request.objective);
 	const isFar = request.availabilityZone !== undefined && request.availabilityZone !== board.server.availabilityZone;
-	return {board, finish, cost: (worth * (delay - earned + (isFar ? zoneCost : 0))) + harm};
+	return {load: board, finish, cost: (worth * (delay - earned + (isFar ? zoneCost : 0))) + harm};
 }
--- a/src/replay/routed/pass-server.ts
+++ b/src/replay/routed/pass-server.ts
@@ -6,7 +6,7 @@
  * divided evenly, and its first token comes after the last part. Times in milliseconds.
  */
 import type {EngineProfile} from '../../routing/index.js';
-import {computePassTime, computeReadTime} from '../../planning/index.js';
+import {computePassTime, computePrefillTime} from '../../planning/index.js';
 
 /** Runs a function after a delay, on the replay's virtual clock. */
 export type Schedule = (delay: number, run: () => void) => void;
@@ -127,7 +127,7 @@
 		this.#parts.push({
 			job,
 			tokensLeft: tokens,
-			timePerToken: computeReadTime(this.#engine, promptTokens, parts) / tokens,
+			timePerToken: computePrefillTime(this.#engine, promptTokens, parts) / tokens,
 			isJoint: parts > 1,
 			isOwn,
 		});
--- a/src/replay/routed/replayed-request.ts
+++ b/src/replay/routed/replayed-request.ts
@@ -3,7 +3,7 @@
 	BackendServerId, BoxId, RequestId, ServiceName,
 } from '../../common/index.js';
 import {
-	moveShare, type FleetSight, type Plan, type Planner, type PlanRequest, type Trouble,
+	moveSilenceShare, type FleetVisibility, type Plan, type Planner, type PlanRequest, type Trouble,
 } from '../../planning/index.js';
 import {
 	PassJob, stallTime, type PassListener, type PassServer, type Schedule,
@@ -31,7 +31,7 @@
 	backAt: number;
 	/** Who decides for a request of a node, by the node's number, and what that one sees of the fleet. */
 	findPlanner: (node: number) => Planner;
-	readonly sight: FleetSight;
+	readonly sight: FleetVisibility;
 	readonly servers: ReadonlyMap<BackendServerId, PassServer>;
 	/** Requests that a node serves. */
 	readonly active: Set<ReplayedRequest>;
@@ -170,7 +170,7 @@
 			patience: flow.patience - (now - this.#lastEventAt),
 			timeLeft: flow.timeLimit - (now - at),
 			longestPause: flow.longestPause,
-			longestSilence: flow.patience * moveShare,
+			longestSilence: flow.patience * moveSilenceShare,
 			excluded: [...this.#excluded],
 		};
 		this.#planner.decide(request, now, this.#replay.sight).caseOf({
@@ -279,7 +279,7 @@
 	}
 
 	/** A stream that is silent for too long is moved to another server. */
-	#watchServer(plan: Plan, silence = this.#request.flow.patience * moveShare): void {
+	#watchServer(plan: Plan, silence = this.#request.flow.patience * moveSilenceShare): void {
 		const since = this.#lastEventAt;
 		const job = this.#job!;
 		this.#replay.schedule(silence, () => {
@@ -298,10 +298,10 @@
 				return;
 			}
 
-			this.#planner.note({
+			this.#planner.recordEvent({
 				planId: plan.planId, kind: 'failed', server, trouble,
 			}, this.#replay.now);
-			this.#planner.note({planId: plan.planId, kind: 'ended'}, this.#replay.now);
+			this.#planner.recordEvent({planId: plan.planId, kind: 'ended'}, this.#replay.now);
 			this.#excluded.push(server);
 			this.#askedFirst = this.#replay.now;
 			if (this.#sends < mostSends) {
@@ -354,7 +354,7 @@
 
 	#tell(plan: Plan, kind: 'started' | 'ended'): void {
 		this.#replay.schedule(noteTime, () => {
-			this.#planner.note({planId: plan.planId, kind}, this.#replay.now);
+			this.#planner.recordEvent({planId: plan.planId, kind}, this.#replay.now);
 		});
 	}
 
--- a/src/replay/routed/routed-replay.ts
+++ b/src/replay/routed/routed-replay.ts
@@ -3,7 +3,7 @@
 import type {
 	AvailabilityZone, BackendServerId, BackendServerName, RequestId,
 } from '../../common/index.js';
-import {Planner, type FleetSight} from '../../planning/index.js';
+import {Planner, type FleetVisibility} from '../../planning/index.js';
 import type {BackendServer} from '../../routing/index.js';
 import {createCountingIds} from '../counting-ids.js';
 import {PassServer, type Schedule} from './pass-server.js';
@@ -101,7 +101,7 @@
 	}
 
 	/** What the deciding node sees of the fleet. */
-	get sight(): FleetSight {
+	get sight(): FleetVisibility {
 		return {seen: 1, known: Math.max(1, this.#alone.length)};
 	}
 
--- a/test/abandoned-runs.test.ts
+++ b/test/abandoned-attempts.test.ts
@@ -2,20 +2,20 @@
 import type {BackendServerId, RequestFingerprint} from '../src/common/index.js';
 import type {Plan, Planner} from '../src/planning/index.js';
 import {
-	ask, createPlanner, createServers, engine, planNow, short,
+	createPlanRequest, createPlanner, createServers, engine, planNow, shortOptions,
 } from './helpers/planning.js';
 
 const fingerprint = 'fingerprint-a' as RequestFingerprint;
 
 /** Places a request and stops its attempt. */
 function abandon(planner: Planner, now: number, isUnanswered = true): Plan {
-	const plan = planNow(planner, ask(500, {...short, fingerprint}), now);
-	planner.note({planId: plan.planId, kind: 'ended', isUnanswered}, now + 50);
+	const plan = planNow(planner, createPlanRequest(500, {...shortOptions, fingerprint}), now);
+	planner.recordEvent({planId: plan.planId, kind: 'ended', isUnanswered}, now + 50);
 	return plan;
 }
 
 function crashReported(planner: Planner, server: BackendServerId, now: number): RequestFingerprint[] {
-	planner.note({
+	planner.recordEvent({
 		planId: 'plan-other' as Plan['planId'], kind: 'server_ended', server, fingerprint: 'fingerprint-other' as RequestFingerprint,
 	}, now);
 	return planner.attributeCrash(server, now, 1000);
@@ -29,7 +29,7 @@
 		planner.setServers(createServers(18).filter(({id}) => id !== server), engine);
 	}
 
-	expect(planner.crashRecords.judge(fingerprint, 21_000).kind).toBe('rejected');
+	expect(planner.crashRecords.classify(fingerprint, 21_000).kind).toBe('rejected');
 });
 
 test('counts a lost entry for a request that was stopped up to five seconds before', () => {
@@ -45,20 +45,20 @@
 	const {server} = abandon(planner, 0);
 	expect(crashReported(planner, server, 1500)).toEqual([]);
 	abandon(planner, 10_000, false);
-	expect(planner.crashRecords.judge(fingerprint, 11_000)).toEqual({kind: 'clean', crashes: 0});
+	expect(planner.crashRecords.classify(fingerprint, 11_000)).toEqual({kind: 'clean', crashes: 0});
 });
 
 test('counts no crash for a request whose server is leaving', () => {
 	const planner = createPlanner();
-	const plan = planNow(planner, ask(500, {...short, fingerprint}), 0);
+	const plan = planNow(planner, createPlanRequest(500, {...shortOptions, fingerprint}), 0);
 	planner.setServers(createServers(18).filter(({id}) => id !== plan.server), engine);
-	planner.note({planId: plan.planId, kind: 'ended', isUnanswered: true}, 50);
+	planner.recordEvent({planId: plan.planId, kind: 'ended', isUnanswered: true}, 50);
 	expect(planner.listAbandonedServers()).toEqual([]);
 });
 
 test('counts a lost entry for a request whose node was killed', () => {
 	const planner = createPlanner();
-	const {server, request} = planNow(planner, ask(500, {...short, fingerprint}), 0);
-	planner.forgetNode(request.node, 1300);
+	const {server, request} = planNow(planner, createPlanRequest(500, {...shortOptions, fingerprint}), 0);
+	planner.releaseNode(request.node, 1300);
 	expect(planner.attributeCrash(server, 2500)).toEqual([fingerprint]);
 });
--- a/test/fleet-sight.test.ts
+++ b/test/fleet-visibility.test.ts
@@ -6,16 +6,16 @@
  */
 import {expect, test} from '@jest/globals';
 import type {AvailabilityZone, BackendServerId} from '../src/common/index.js';
-import type {FleetSight} from '../src/planning/index.js';
+import type {FleetVisibility} from '../src/planning/index.js';
 import {
 	drawDay, measureRouted, replayRouted, workloads,
 } from '../src/replay/routed/index.js';
 import {
-	ask, createPlanner, createServers, engine, expectPlan, planNow, short,
+	createPlanRequest, createPlanner, createServers, engine, expectPlan, planNow, shortOptions,
 } from './helpers/planning.js';
 
-const alone: FleetSight = {seen: 1, known: 4};
-const whole: FleetSight = {seen: 77, known: 77};
+const alone: FleetVisibility = {seen: 1, known: 4};
+const whole: FleetVisibility = {seen: 77, known: 77};
 
 function countByServer(servers: BackendServerId[]): number[] {
 	const counts = new Map<BackendServerId, number>();
@@ -28,7 +28,7 @@
 
 test('nodes that decide alone do not all choose the same servers for short prompts', () => {
 	const servers = Array.from({length: 77}, () => createPlanner(60)).flatMap(planner =>
-		Array.from({length: 4}, () => expectPlan(planner.decide(ask(5000, short), 0, alone).unsafeCoerce()).server));
+		Array.from({length: 4}, () => expectPlan(planner.decide(createPlanRequest(5000, shortOptions), 0, alone).unsafeCoerce()).server));
 	const counts = countByServer(servers);
 	expect(counts.length).toBeGreaterThanOrEqual(38);
 	expect(counts[0]).toBeLessThanOrEqual(20);
@@ -42,7 +42,7 @@
 });
 
 function planNowAlone(planner: ReturnType<typeof createPlanner>, promptTokens: number): BackendServerId {
-	return expectPlan(planner.decide(ask(promptTokens, short), 0, alone).unsafeCoerce()).server;
+	return expectPlan(planner.decide(createPlanRequest(promptTokens, shortOptions), 0, alone).unsafeCoerce()).server;
 }
 
 test('what a node that decides alone has placed itself still counts', () => {
@@ -53,23 +53,23 @@
 
 test('a prompt that needs several servers waits until its node sees the fleet, and for a second at most', () => {
 	const planner = createPlanner(60);
-	const giant = ask(190_000);
+	const giant = createPlanRequest(190_000);
 	const first = planner.decide(giant, 0, alone).unsafeCoerce();
 	expect(first).toMatchObject({kind: 'wait', reason: 'sight'});
 	const seeing = planner.decide({...giant, waited: 300, objective: 2700}, 300, whole).unsafeCoerce();
 	expect(seeing.kind).toBe('plan');
 	const lonely = createPlanner(60);
-	lonely.decide(ask(190_000), 0, alone);
-	expect(lonely.decide(ask(190_000), 1000, alone).unsafeCoerce().kind).toBe('plan');
+	lonely.decide(createPlanRequest(190_000), 0, alone);
+	expect(lonely.decide(createPlanRequest(190_000), 1000, alone).unsafeCoerce().kind).toBe('plan');
 });
 
 test('a long prompt that one server reads in time is begun at once', () => {
-	expect(createPlanner(60).decide(ask(45_000, {objective: 1500}), 0, alone).unsafeCoerce().kind).toBe('plan');
+	expect(createPlanner(60).decide(createPlanRequest(45_000, {objective: 1500}), 0, alone).unsafeCoerce().kind).toBe('plan');
 });
 
 test('a node that sees half of the fleet decides as one that sees all', () => {
 	const half = {seen: 2, known: 4};
-	const request = ask(5000, short);
+	const request = createPlanRequest(5000, shortOptions);
 	const plans = [half, whole].map(sight => expectPlan(createPlanner(60).decide(request, 0, sight).unsafeCoerce()));
 	expect(plans[0].server).toBe(plans[1].server);
 	expect(planNow(createPlanner(60), request).server).toBe(plans[1].server);
@@ -77,13 +77,13 @@
 
 test('a single server is taken whoever sees it', () => {
 	expect(planNowAlone(createPlanner(1), 5000)).toBe('i-000');
-	expect(expectPlan(createPlanner(1).decide(ask(45_000), 0, alone).unsafeCoerce()).server).toBe('i-000');
+	expect(expectPlan(createPlanner(1).decide(createPlanRequest(45_000), 0, alone).unsafeCoerce()).server).toBe('i-000');
 });
 
 test('a node that decides alone keeps to its zone among servers that are alike', () => {
 	const planner = createPlanner(60);
 	planner.setServers(createServers(60).map((server, index) => ({...server, availabilityZone: ['a', 'b', 'c'][index % 3] as AvailabilityZone})), engine);
-	const {server} = expectPlan(planner.decide(ask(5000, {...short, availabilityZone: 'b' as AvailabilityZone}), 0, alone).unsafeCoerce());
+	const {server} = expectPlan(planner.decide(createPlanRequest(5000, {...shortOptions, availabilityZone: 'b' as AvailabilityZone}), 0, alone).unsafeCoerce());
 	expect(Number(server.slice(2)) % 3).toBe(1);
 });
 
--- a/test/helpers/greedy-fleet.ts
+++ b/test/helpers/greedy-fleet.ts
@@ -1,6 +1,6 @@
 /** A fleet in which every call fails and is sent again as often as may be, with nodes that start again and cuts between them. */
 import seedrandom from 'seedrandom';
-import {FleetRetries, type FleetReach, type RetryLimits} from '../../src/planning/index.js';
+import {FleetRetryBudget, type FleetMembership, type RetryLimits} from '../../src/planning/index.js';
 
 /** What happens to a fleet: some nodes start again, or one side and the other hear only themselves for a while. */
 export type FleetEvent =
@@ -26,14 +26,14 @@
 
 class GreedyNode {
 	readonly life: string;
-	readonly retries: FleetRetries;
+	readonly retries: FleetRetryBudget;
 	readonly known = new Map<number, Known>();
 	toldLife: string | undefined;
 	readonly #startedAt: number;
 
 	constructor(index: number, limits: RetryLimits, startedAt: number) {
 		this.life = `${index}@${startedAt}`;
-		this.retries = new FleetRetries(limits);
+		this.retries = new FleetRetryBudget(limits);
 		this.#startedAt = startedAt;
 	}
 
@@ -51,10 +51,10 @@
 		}
 	}
 
-	describeReach(side: number[], now: number): FleetReach {
+	describeReach(side: number[], now: number): FleetMembership {
 		const others = side.flatMap(index => this.known.get(index) ?? []).filter(({life}) => life !== this.life);
 		return {
-			live: [{life: this.life, heardFor: this.findAge(now)}, ...others.map(({life, learnedAt}) => ({life, heardFor: now - learnedAt}))],
+			live: [{life: this.life, observedFor: this.findAge(now)}, ...others.map(({life, learnedAt}) => ({life, observedFor: now - learnedAt}))],
 			known: this.countKnown(),
 			age: this.findAge(now),
 		};
@@ -82,7 +82,7 @@
 	}
 
 	/** Plays a run; each node takes a request a step. */
-	play(events: FleetEvent[]): this {
+	run(events: FleetEvent[]): this {
 		for (let now = 0; now < runLength; now += stepLength) {
 			for (const event of events) {
 				if (event.kind === 'restart' && event.at > now - stepLength && event.at <= now) {
@@ -128,17 +128,17 @@
 
 		if (node.toldLife !== decider.life) {
 			node.toldLife = decider.life;
-			decider.retries.learn(node.retries.describeOwn(now, {life: node.life, age: node.findAge(now), known: node.countKnown()}, decider.life), now);
+			decider.retries.addHistory(node.retries.describeHistory(now, {life: node.life, age: node.findAge(now), known: node.countKnown()}, decider.life), now);
 		}
 
 		this.requestsAt.push(now);
-		decider.retries.addDecided(now, worth);
-		node.retries.addOwn(now, worth, decider.life);
+		decider.retries.recordDecided(now, worth);
+		node.retries.recordOwn(now, worth, decider.life);
 		const reach = decider.describeReach(side, now);
 		for (let count = 0; count < retriesPerRequest; count++) {
 			if (decider.retries.grant(now, worth, reach)) {
-				node.retries.noteGranted(now, decider.life);
-			} else if (!node.retries.takeAlone(now, worth, node.describeReach(side, now))) {
+				node.retries.recordGranted(now, decider.life);
+			} else if (!node.retries.takeFallback(now, worth, node.describeReach(side, now))) {
 				return;
 			}
 
--- a/test/helpers/pass-fleet.ts
+++ b/test/helpers/pass-fleet.ts
@@ -26,7 +26,7 @@
 export const longestSilence = 2000;
 
 /** A stream as its caller saw it. Times in milliseconds, by the process's clock. */
-export type SeenStream = {
+export type ObservedStream = {
 	id: string;
 	firstAt: number;
 	lastAt: number;
@@ -86,14 +86,14 @@
 	}
 
 	/** Makes a server silent for good. */
-	fallSilent(server: number): void {
+	makeSilent(server: number): void {
 		this.#silentSince.set(server, Date.now());
 	}
 
 	/** A caller's stream at a node; it leaves after the silence that callers of its route bear. */
-	async stream(id: string, node: number, {path, silence, promptTokens, events}: StreamSpec): Promise<SeenStream> {
+	async stream(id: string, node: number, {path, silence, promptTokens, events}: StreamSpec): Promise<ObservedStream> {
 		const [host, port] = this.nodes.settings[node].listen.callers.split(':');
-		const seen: SeenStream = {
+		const seen: ObservedStream = {
 			id, firstAt: 0, lastAt: Date.now(), longestPause: 0, events: 0, outcome: 'cut',
 		};
 		return new Promise(resolve => {
@@ -115,7 +115,7 @@
 					finish('left');
 				}
 			}, 5);
-			const finish = (outcome: SeenStream['outcome']) => {
+			const finish = (outcome: ObservedStream['outcome']) => {
 				clearInterval(leaving);
 				request.destroy();
 				resolve({...seen, outcome: outcome === 'whole' && seen.events < events ? 'cut' : outcome});
@@ -206,7 +206,7 @@
 	};
 }
 
-function noteEvents(seen: SeenStream, text: string): void {
+function noteEvents(seen: ObservedStream, text: string): void {
 	const now = Date.now();
 	const events = text.split('\n').filter(line => line.startsWith('id: ')).length;
 	if (events === 0) {
--- a/test/helpers/planned-fleet.ts
+++ b/test/helpers/planned-fleet.ts
@@ -16,7 +16,7 @@
 } from '../../src/gateway/calls/index.js';
 import {GatewayMetrics} from '../../src/gateway/gateway-metrics.js';
 import {
-	Planner, type Plan, type PlanNote, type PlanRequest,
+	Planner, type Plan, type PlanEvent, type PlanRequest,
 } from '../../src/planning/index.js';
 import {PassJob} from '../../src/replay/routed/index.js';
 import {
@@ -107,8 +107,8 @@
 		return true;
 	}
 
-	override report(plan: Plan, note: PlanNote): void {
-		this.#planners.get(plan.planId)?.note(note, this.fleet.clock.readMonotonic());
+	override report(plan: Plan, note: PlanEvent): void {
+		this.#planners.get(plan.planId)?.recordEvent(note, this.fleet.clock.readMonotonic());
 	}
 
 	override recordLimit(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
--- a/test/helpers/planning.ts
+++ b/test/helpers/planning.ts
@@ -49,7 +49,7 @@
 let requestCount = 0;
 
 /** A request for a long prompt, with changes. */
-export function ask(promptTokens: number, changes: Partial<PlanRequest> = {}): PlanRequest {
+export function createPlanRequest(promptTokens: number, changes: Partial<PlanRequest> = {}): PlanRequest {
 	return {
 		requestId: `r-${++requestCount}` as RequestId,
 		service: 'model' as ServiceName,
@@ -67,7 +67,7 @@
 }
 
 /** What makes it a short one. */
-export const short = {objective: 300, patience: 10_000, longestPause: 250};
+export const shortOptions = {objective: 300, patience: 10_000, longestPause: 250};
 
 /** The plan of a decision; fails on a wait. */
 export function expectPlan(decision: Decision): Plan {
--- a/test/helpers/scripted-call.ts
+++ b/test/helpers/scripted-call.ts
@@ -14,7 +14,7 @@
 } from '../../src/gateway/calls/index.js';
 import {GatewayMetrics} from '../../src/gateway/gateway-metrics.js';
 import type {HeaderFields} from '../../src/gateway/wire.js';
-import type {Plan, PlanNote, PlanRequest} from '../../src/planning/index.js';
+import type {Plan, PlanEvent, PlanRequest} from '../../src/planning/index.js';
 import type {BackendServer, Route, ServiceSpec} from '../../src/routing/index.js';
 
 /** Events of a whole stream. */
@@ -364,7 +364,7 @@
 		return true;
 	}
 
-	override report(plan: Plan, note: PlanNote): void {
+	override report(plan: Plan, note: PlanEvent): void {
 		if (note.kind === 'ended') {
 			this.openPlans.delete(plan.planId);
 		}
--- a/test/limit-grants.test.ts
+++ b/test/limit-grants.test.ts
@@ -4,7 +4,7 @@
 import {CallWire} from '../platform/index.js';
 import type {BackendServerId} from '../src/common/index.js';
 import {ServerLimits} from '../src/planning/index.js';
-import {ask, createPlanner, short} from './helpers/planning.js';
+import {createPlanRequest, createPlanner, shortOptions} from './helpers/planning.js';
 
 const server = 'i-000' as BackendServerId;
 const nodeCount = 6;
@@ -23,7 +23,7 @@
 function playPhases(rate: number, phases: Phase[]): number[] {
 	const nodes = Array.from({length: nodeCount}, () => new ServerLimits());
 	for (const node of nodes) {
-		node.learn({server, requestsPerSecond: rate, age: 0}, 0);
+		node.update({server, requestsPerSecond: rate, age: 0}, 0);
 	}
 
 	const granted: number[] = [];
@@ -100,19 +100,19 @@
 
 test('an older report does not change a limit, and answers that overtake each other do not lift it', () => {
 	const limits = new ServerLimits();
-	expect(limits.learn({server, requestsPerSecond: 2, age: 0}, 1000)).toBe(true);
-	expect(limits.learn({server, requestsPerSecond: 9, age: 500}, 1200)).toBe(false);
-	expect(limits.learn({server, age: 0}, 1300)).toBe(false);
+	expect(limits.update({server, requestsPerSecond: 2, age: 0}, 1000)).toBe(true);
+	expect(limits.update({server, requestsPerSecond: 9, age: 500}, 1200)).toBe(false);
+	expect(limits.update({server, age: 0}, 1300)).toBe(false);
 	expect(limits.findRate(server)).toBe(2);
-	expect(limits.learn({server, age: 0}, 1600)).toBe(true);
+	expect(limits.update({server, age: 0}, 1600)).toBe(true);
 	expect(limits.findRate(server)).toBeUndefined();
-	expect(limits.learn({server, requestsPerSecond: 2, age: 700}, 1700)).toBe(false);
+	expect(limits.update({server, requestsPerSecond: 2, age: 700}, 1700)).toBe(false);
 });
 
 test('a rejected request is asked to return when there is room, and those after it later', () => {
 	const planner = createPlanner(1);
-	planner.limits.learn({server, requestsPerSecond: 2, age: 0}, 0);
-	const decide = (patience: number) => planner.decide(ask(500, {...short, patience}), 0);
+	planner.limits.update({server, requestsPerSecond: 2, age: 0}, 0);
+	const decide = (patience: number) => planner.decide(createPlanRequest(500, {...shortOptions, patience}), 0);
 	expect(decide(4000).unsafeCoerce()).toMatchObject({kind: 'wait', reason: 'limit'});
 	const returns = [decide(800), decide(800), decide(800)].map(decided => decided.swap().unsafeCoerce().retryAfterSeconds);
 	expect(returns).toEqual([1, 1.5, 2]);
@@ -120,11 +120,11 @@
 
 test('a request that waits longer is sent before one that has just come', () => {
 	const planner = createPlanner(1);
-	planner.limits.learn({server, requestsPerSecond: 1, age: 0}, 0);
-	const first = ask(500, {...short, patience: 8000});
+	planner.limits.update({server, requestsPerSecond: 1, age: 0}, 0);
+	const first = createPlanRequest(500, {...shortOptions, patience: 8000});
 	expect(planner.decide(first, 0).unsafeCoerce().kind).toBe('wait');
 	expect(planner.decide({...first, waited: 900}, 900).unsafeCoerce().kind).toBe('wait');
-	expect(planner.decide(ask(500, {...short, patience: 8000}), 1000).unsafeCoerce().kind).toBe('wait');
+	expect(planner.decide(createPlanRequest(500, {...shortOptions, patience: 8000}), 1000).unsafeCoerce().kind).toBe('wait');
 	expect(planner.decide({...first, waited: 1010}, 1010).unsafeCoerce().kind).toBe('plan');
 });
 
--- a/test/planned-pauses.test.ts
+++ b/test/planned-pauses.test.ts
@@ -12,20 +12,20 @@
 import fc from 'fast-check';
 import type {BackendServerId} from '../src/common/index.js';
 import {
-	computePassTime, computeReadTime, moveShare, type Plan, type PlanRequest,
+	computePassTime, computePrefillTime, moveSilenceShare, type Plan, type PlanRequest,
 } from '../src/planning/index.js';
 import {
 	replayRouted, workloads, type DrawnDay, type Workload,
 } from '../src/replay/routed/index.js';
 import {
-	ask, createPlanner, engine, expectPlan, planNow, short,
+	createPlanRequest, createPlanner, engine, expectPlan, planNow, shortOptions,
 } from './helpers/planning.js';
 import {
-	longestSilence, PassFleet, reviewSilence, type SeenStream,
+	longestSilence, PassFleet, reviewSilence, type ObservedStream,
 } from './helpers/pass-fleet.js';
 
 /** Silence after which nodes move a stream, in milliseconds. */
-const moveSilence = moveShare * longestSilence;
+const moveSilence = moveSilenceShare * longestSilence;
 
 /** A prompt that six servers read in 1.9 s. */
 const giantTokens = 322_000;
@@ -35,7 +35,7 @@
 
 /** A stream whose callers bear two seconds of silence. */
 function askStream(promptTokens: number): PlanRequest {
-	return ask(promptTokens, {...short, patience: longestSilence, longestSilence: moveSilence});
+	return createPlanRequest(promptTokens, {...shortOptions, patience: longestSilence, longestSilence: moveSilence});
 }
 
 /** Writers of a planner's servers, counted from its plans. */
@@ -53,7 +53,7 @@
 	fc.assert(fc.property(tokens, servers, streams, prompt, (tokens, servers, streams, prompt) => {
 		const planner = createPlanner(servers);
 		const writers = countWriters(Array.from({length: streams}).flatMap(() => planner.decide(askStream(prompt), 0).toMaybe().map(decision => expectPlan(decision)).toList()));
-		return planner.decide(ask(tokens, {objective: 2200}), 500).caseOf({
+		return planner.decide(createPlanRequest(tokens, {objective: 2200}), 500).caseOf({
 			Left: () => true,
 			Right(decision) {
 				if (decision.kind === 'wait') {
@@ -63,7 +63,7 @@
 				const {server, helpers} = decision.plan;
 				const readers = [server, ...helpers.map(helper => helper.server)];
 				const passes = readers.filter(reader => writers.has(reader)).map(reader => computePassTime(engine, writers.get(reader)!, 0));
-				const longest = passes.length === 0 ? 0 : Math.max(...passes) + computeReadTime(engine, tokens, readers.length);
+				const longest = passes.length === 0 ? 0 : Math.max(...passes) + computePrefillTime(engine, tokens, readers.length);
 				return longest * (1 + assumedOverrun) <= moveSilence;
 			},
 		});
@@ -73,10 +73,10 @@
 test('a prompt that would make all writers silent for too long is read once they have ended', () => {
 	const planner = createPlanner(6);
 	const plans = Array.from({length: 40}, () => planNow(planner, askStream(100)));
-	const giant = ask(giantTokens, {objective: 2200});
+	const giant = createPlanRequest(giantTokens, {objective: 2200});
 	expect(planner.decide(giant, 500).unsafeCoerce().kind).toBe('wait');
 	for (const {planId} of plans) {
-		planner.note({planId, kind: 'ended'}, 2000);
+		planner.recordEvent({planId, kind: 'ended'}, 2000);
 	}
 
 	expect(planner.decide({...giant, waited: 1500, objective: 700}, 2000).unsafeCoerce().kind).toBe('plan');
@@ -87,9 +87,9 @@
 		const planner = createPlanner(2);
 		let now = 0;
 		for (let index = 0; index < 20; index++) {
-			const read = planNow(planner, ask(120_000), now);
-			planner.note({planId: read.planId, kind: 'started'}, now + (read.expectedFirst * (1 + overrun)));
-			planner.note({planId: read.planId, kind: 'ended'}, now + 3000);
+			const read = planNow(planner, createPlanRequest(120_000), now);
+			planner.recordEvent({planId: read.planId, kind: 'started'}, now + (read.expectedFirst * (1 + overrun)));
+			planner.recordEvent({planId: read.planId, kind: 'ended'}, now + 3000);
 			now += 20_000;
 		}
 
@@ -97,7 +97,7 @@
 			planNow(planner, askStream(100), now);
 		}
 
-		return planner.decide(ask(125_000), now + 300).unsafeCoerce().kind;
+		return planner.decide(createPlanRequest(125_000), now + 300).unsafeCoerce().kind;
 	};
 
 	// Two servers read 125,000 tokens in 1,071 ms besides a pass of some 50: within 1,300 with a twentieth more, beyond with three tenths.
@@ -145,13 +145,13 @@
 });
 
 /** Streams over all nodes, of so many events. */
-function startStreams(count: number, events: number): Array<Promise<SeenStream>> {
+function startStreams(count: number, events: number): Array<Promise<ObservedStream>> {
 	return Array.from({length: count}, async (_, index) => fleet.stream(`stream-${index}`, index % nodeCount, {
 		path: '/stream/', silence: longestSilence, promptTokens: 100, events,
 	}));
 }
 
-async function startReview(promptTokens: number): Promise<SeenStream> {
+async function startReview(promptTokens: number): Promise<ObservedStream> {
 	return fleet.stream('review', 0, {
 		path: '/review/', silence: reviewSilence, promptTokens, events: 3,
 	});
@@ -191,7 +191,7 @@
 	await sleep(200);
 	const [silent] = fleet.sends.get('stream-0')!.map(({server}) => server);
 	const silentAt = Date.now();
-	fleet.fallSilent(silent);
+	fleet.makeSilent(silent);
 	const seen = await Promise.all(streams);
 	const moved = [...fleet.sends].filter(([id, sends]) => id.startsWith('stream') && sends.some(({server}) => server === silent) && sends.length > 1);
 	expect(moved.length).toBeGreaterThan(0);
--- a/test/planner-runs.test.ts
+++ b/test/planner-runs.test.ts
@@ -4,7 +4,7 @@
 import type {BackendServerId, BoxId, PlanId} from '../src/common/index.js';
 import {Planner, type Plan, type Trouble} from '../src/planning/index.js';
 import {
-	ask, createIds, createServers, engine, short,
+	createPlanRequest, createIds, createServers, engine, shortOptions,
 } from './helpers/planning.js';
 
 const seed = 20_261_203;
@@ -97,8 +97,8 @@
 	return new PlanStep('ask', words, (model, {planner}) => {
 		const excluded = words.excluded.map(index => createServers(serverCount)[index].id);
 		const promptTokens = words.isLong ? words.tokens * 20 : words.tokens;
-		const decided = planner.decide(ask(promptTokens, {
-			...(words.isLong ? {} : short), node: nodes[words.node], patience: words.patience, timeLeft: words.patience, excluded,
+		const decided = planner.decide(createPlanRequest(promptTokens, {
+			...(words.isLong ? {} : shortOptions), node: nodes[words.node], patience: words.patience, timeLeft: words.patience, excluded,
 		}), model.now);
 		model.prune();
 		decided.ifRight(decision => {
@@ -124,7 +124,7 @@
 function note(kind: 'started' | 'ended', index: number): PlanStep {
 	return new PlanStep(kind, index, (model, {planner}) => {
 		const held = model.pick(index);
-		planner.note({planId: held?.plan.planId ?? 'never made' as PlanId, kind}, model.now);
+		planner.recordEvent({planId: held?.plan.planId ?? 'never made' as PlanId, kind}, model.now);
 		if (kind === 'ended') {
 			model.forget(each => each === held);
 		}
@@ -136,7 +136,7 @@
 		const held = model.pick(index);
 		if (held !== undefined) {
 			const {planId, server} = held.plan;
-			planner.note({
+			planner.recordEvent({
 				planId, kind: 'failed', server, trouble,
 			}, model.now);
 		}
@@ -154,7 +154,7 @@
 
 function killNode(index: number): PlanStep {
 	return new PlanStep('node died', index, (model, {planner}) => {
-		planner.forgetNode(nodes[index], model.now);
+		planner.releaseNode(nodes[index], model.now);
 		model.forget(({plan}) => plan.request.node === nodes[index]);
 	});
 }
--- a/test/planning.test.ts
+++ b/test/planning.test.ts
@@ -4,20 +4,20 @@
 	AvailabilityZone, BackendServerId, BoxId, PlanId, RequestId,
 } from '../src/common/index.js';
 import {
-	computePassTime, computeReadTime, Planner, ServerHealth, type Plan,
+	computePassTime, computePrefillTime, Planner, ServerHealth, type Plan,
 } from '../src/planning/index.js';
 import {
-	ask, createIds, createPlanner, createServers, engine, planNow, short,
+	createPlanRequest, createIds, createPlanner, createServers, engine, planNow, shortOptions,
 } from './helpers/planning.js';
 
 test('a read grows with the square of its prompt and is divided evenly', () => {
-	expect(computeReadTime(engine, 154_000)).toBeCloseTo(3052, 0);
-	expect(computeReadTime(engine, 154_000, 4)).toBeCloseTo(763, 0);
+	expect(computePrefillTime(engine, 154_000)).toBeCloseTo(3052, 0);
+	expect(computePrefillTime(engine, 154_000, 4)).toBeCloseTo(763, 0);
 	expect(computePassTime(engine, 0, 0)).toBeCloseTo(43.35, 2);
 });
 
 test('a long prompt is read by as many servers as its objective needs', () => {
-	const plan = planNow(createPlanner(), ask(154_000));
+	const plan = planNow(createPlanner(), createPlanRequest(154_000));
 	expect(plan.helpers.length).toBeGreaterThanOrEqual(3);
 	expect(plan.expectedFirst).toBeLessThan(3000 * 0.25);
 	expect(plan.startIn).toBe(0);
@@ -25,40 +25,40 @@
 
 test('short prompts keep off the servers where long ones are read, as long as they are read sooner elsewhere', () => {
 	const planner = createPlanner();
-	const long = planNow(planner, ask(154_000));
+	const long = planNow(planner, createPlanRequest(154_000));
 	const readers = new Set([long.server, ...long.helpers.map(helper => helper.server)]);
-	const partTime = computeReadTime(engine, 154_000, readers.size);
-	const asSoon = (18 - readers.size) * Math.floor(partTime / computeReadTime(engine, 5000));
+	const partTime = computePrefillTime(engine, 154_000, readers.size);
+	const asSoon = (18 - readers.size) * Math.floor(partTime / computePrefillTime(engine, 5000));
 	expect(asSoon).toBeGreaterThanOrEqual(12);
 	for (let index = 0; index < asSoon; index++) {
-		expect(readers.has(planNow(planner, ask(5000, short)).server)).toBe(false);
+		expect(readers.has(planNow(planner, createPlanRequest(5000, shortOptions)).server)).toBe(false);
 	}
 });
 
 test('a second long prompt waits in line rather than being planned far ahead', () => {
 	const planner = createPlanner(4);
-	planNow(planner, ask(154_000));
-	const decision = planner.decide(ask(154_000), 1).unsafeCoerce();
+	planNow(planner, createPlanRequest(154_000));
+	const decision = planner.decide(createPlanRequest(154_000), 1).unsafeCoerce();
 	expect(decision.kind).toBe('wait');
-	const later = ask(154_000, {waited: 3000, objective: 0, patience: 12_000});
+	const later = createPlanRequest(154_000, {waited: 3000, objective: 0, patience: 12_000});
 	expect(planner.decide(later, 4000).unsafeCoerce().kind).toBe('plan');
 });
 
 test('a prompt above one server\'s memory sets the rest aside on its helpers', () => {
-	const plan = planNow(createPlanner(), ask(500_000));
+	const plan = planNow(createPlanner(), createPlanRequest(500_000));
 	const held = plan.helpers.reduce((sum, helper) => sum + helper.heldTokens, 0);
 	expect(plan.ownTokens).toBeLessThanOrEqual(315_000);
 	expect(plan.ownTokens + held).toBeGreaterThanOrEqual(501_600);
 });
 
 test('a prompt that cannot be read in its time is refused at once with a time to come back', () => {
-	const failure = createPlanner(1).decide(ask(300_000, {objective: 2000, patience: 2000}), 0).swap().unsafeCoerce();
+	const failure = createPlanner(1).decide(createPlanRequest(300_000, {objective: 2000, patience: 2000}), 0).swap().unsafeCoerce();
 	expect(failure.kind).toBe('overloaded');
 	expect(failure.retryAfterSeconds).toBeGreaterThan(0);
 });
 
 test('no server means a refusal at once', () => {
-	const failure = createPlanner(0).decide(ask(5000, short), 0).swap().unsafeCoerce();
+	const failure = createPlanner(0).decide(createPlanRequest(5000, shortOptions), 0).swap().unsafeCoerce();
 	expect(failure.kind).toBe('no_backend_server');
 });
 
@@ -68,45 +68,45 @@
 	planner.setServers(createServers(9).map((server, index) => ({...server, availabilityZone: zones[index % zones.length]})), engine);
 	const zoneOf = (server: BackendServerId) => zones[Number(server.slice(2)) % zones.length];
 	for (let index = 0; index < 45; index++) {
-		planNow(planner, ask(1000, short));
+		planNow(planner, createPlanRequest(1000, shortOptions));
 	}
 
-	const taken = zones.map(availabilityZone => zoneOf(planNow(planner, ask(1000, {...short, availabilityZone}), 1000).server));
+	const taken = zones.map(availabilityZone => zoneOf(planNow(planner, createPlanRequest(1000, {...shortOptions, availabilityZone}), 1000).server));
 	expect(taken).toEqual(zones);
-	const crowd = Array.from({length: 12}, () => zoneOf(planNow(planner, ask(6000, {...short, availabilityZone: zones[0]}), 1000).server));
+	const crowd = Array.from({length: 12}, () => zoneOf(planNow(planner, createPlanRequest(6000, {...shortOptions, availabilityZone: zones[0]}), 1000).server));
 	expect(new Set(crowd).size).toBeGreaterThan(1);
 });
 
 test('an excluded server is not chosen', () => {
 	const planner = createPlanner(2);
 	for (let index = 0; index < 5; index++) {
-		expect(planNow(planner, ask(5000, {...short, excluded: ['i-001' as BackendServerId]})).server).toBe('i-000');
+		expect(planNow(planner, createPlanRequest(5000, {...shortOptions, excluded: ['i-001' as BackendServerId]})).server).toBe('i-000');
 	}
 });
 
 test('a server that was not reached is left alone for a while and then tried again', () => {
 	const planner = createPlanner(2);
-	const plan = planNow(planner, ask(5000, short));
-	planner.note({
+	const plan = planNow(planner, createPlanRequest(5000, shortOptions));
+	planner.recordEvent({
 		planId: plan.planId, kind: 'failed', server: plan.server, trouble: 'unreached',
 	}, 0);
-	planner.note({planId: plan.planId, kind: 'ended'}, 0);
-	const others = [1, 2, 3].map(now => planNow(planner, ask(5000, short), now).server);
+	planner.recordEvent({planId: plan.planId, kind: 'ended'}, 0);
+	const others = [1, 2, 3].map(now => planNow(planner, createPlanRequest(5000, shortOptions), now).server);
 	expect(others).not.toContain(plan.server);
-	const later = [1, 2, 3, 4, 5, 6].map(index => planNow(planner, ask(5000, short), 1100 + index).server);
+	const later = [1, 2, 3, 4, 5, 6].map(index => planNow(planner, createPlanRequest(5000, shortOptions), 1100 + index).server);
 	expect(later).toContain(plan.server);
 });
 
 test('a server that is silent while it reads a long prompt is not left alone for it, one that had none is', () => {
 	const planner = createPlanner(2);
-	const long = planNow(planner, ask(200_000, {requestId: 'long' as RequestId}));
-	planner.note({
+	const long = planNow(planner, createPlanRequest(200_000, {requestId: 'long' as RequestId}));
+	planner.recordEvent({
 		planId: long.planId, kind: 'failed', server: long.server, trouble: 'silent',
 	}, 500);
-	planner.note({planId: long.planId, kind: 'ended'}, 500);
-	const servers = (now: number) => new Set(Array.from({length: 20}, () => planNow(planner, ask(1000, short), now).server));
+	planner.recordEvent({planId: long.planId, kind: 'ended'}, 500);
+	const servers = (now: number) => new Set(Array.from({length: 20}, () => planNow(planner, createPlanRequest(1000, shortOptions), now).server));
 	expect(servers(600).has(long.server)).toBe(true);
-	planner.note({
+	planner.recordEvent({
 		planId: long.planId, kind: 'failed', server: long.server, trouble: 'silent',
 	}, 20_000);
 	expect(servers(20_100).has(long.server)).toBe(false);
@@ -114,21 +114,21 @@
 
 test('an objective counts from the first try of a caller that says that it waits less than others do', () => {
 	const planner = createPlanner();
-	const fresh = {...short, route: 'chat', callerWaits: 10_000};
+	const fresh = {...shortOptions, route: 'chat', callerWaits: 10_000};
 	for (let index = 0; index < 5; index++) {
-		expect(planNow(planner, ask(2000, fresh)).request.objective).toBe(300);
+		expect(planNow(planner, createPlanRequest(2000, fresh)).request.objective).toBe(300);
 	}
 
-	expect(planNow(planner, ask(2000, {...fresh, callerWaits: 9980})).request.objective).toBe(300);
-	expect(planNow(planner, ask(2000, {...fresh, callerWaits: 8500})).request.objective).toBe(300 - 1500);
-	expect(planNow(planner, ask(2000, {...fresh, route: 'other', callerWaits: 8500})).request.objective).toBe(300);
+	expect(planNow(planner, createPlanRequest(2000, {...fresh, callerWaits: 9980})).request.objective).toBe(300);
+	expect(planNow(planner, createPlanRequest(2000, {...fresh, callerWaits: 8500})).request.objective).toBe(300 - 1500);
+	expect(planNow(planner, createPlanRequest(2000, {...fresh, route: 'other', callerWaits: 8500})).request.objective).toBe(300);
 });
 
 test('a caller that waits longer than others does not make theirs look like second tries', () => {
 	const planner = createPlanner();
 	for (let index = 0; index < 30; index++) {
 		const callerWaits = index % 15 === 0 ? 30_000 : 10_000;
-		const {objective} = planNow(planner, ask(2000, {...short, route: 'chat', callerWaits}), index * 100).request;
+		const {objective} = planNow(planner, createPlanRequest(2000, {...shortOptions, route: 'chat', callerWaits}), index * 100).request;
 		expect(index < 15 || objective === 300).toBe(true);
 	}
 });
@@ -141,38 +141,38 @@
 	const planner = createPlanner();
 	const objectives = Array.from({length: 120}, (_, index) => {
 		const callerWaits = index % 3 === 0 ? 1e9 + index : 10_000 - (index % 20);
-		return planNow(planner, ask(2000, {...short, route: 'chat', callerWaits}), index * 100).request.objective;
+		return planNow(planner, createPlanRequest(2000, {...shortOptions, route: 'chat', callerWaits}), index * 100).request.objective;
 	});
 	expect(new Set(objectives.slice(10))).toEqual(new Set([300]));
-	expect(planNow(planner, ask(2000, {...short, route: 'chat', callerWaits: 8500}), 12_100).request.objective).toBe(300 - 1500);
+	expect(planNow(planner, createPlanRequest(2000, {...shortOptions, route: 'chat', callerWaits: 8500}), 12_100).request.objective).toBe(300 - 1500);
 });
 
 test('a server that failed is not preferred for a request whose objective has passed', () => {
 	const planner = createPlanner(4);
-	const plan = planNow(planner, ask(5000, short));
-	planner.note({
+	const plan = planNow(planner, createPlanRequest(5000, shortOptions));
+	planner.recordEvent({
 		planId: plan.planId, kind: 'failed', server: plan.server, trouble: 'spoiled',
 	}, 0);
-	planner.note({planId: plan.planId, kind: 'ended'}, 0);
-	const late = planNow(planner, ask(5000, {...short, objective: -1500, patience: 3000}), 1);
+	planner.recordEvent({planId: plan.planId, kind: 'ended'}, 0);
+	const late = planNow(planner, createPlanRequest(5000, {...shortOptions, objective: -1500, patience: 3000}), 1);
 	expect(late.server).not.toBe(plan.server);
 	expect(late.expectedFirst).toBeGreaterThan(0);
 });
 
 test('one failed answer takes nobody out, many do while others are better', () => {
 	const health = new ServerHealth();
-	expect(health.recordTrouble('spoiled', 0)).toBe(false);
-	expect([health.isResting(1), health.isDoubtful(1)]).toEqual([false, false]);
+	expect(health.recordFailure('spoiled', 0)).toBe(false);
+	expect([health.isBackingOff(1), health.isUnreliable(1)]).toEqual([false, false]);
 	for (let index = 0; index < 4; index++) {
-		health.recordTrouble('spoiled', index);
+		health.recordFailure('spoiled', index);
 	}
 
-	expect(health.isDoubtful(4)).toBe(true);
+	expect(health.isUnreliable(4)).toBe(true);
 	for (let index = 0; index < 5; index++) {
 		health.recordSuccess(4);
 	}
 
-	expect(health.isDoubtful(4)).toBe(false);
+	expect(health.isUnreliable(4)).toBe(false);
 });
 
 test('a server that stays silent is left alone longer each time, to a bound', () => {
@@ -180,8 +180,8 @@
 	let now = 0;
 	const rests = Array.from({length: 6}, () => {
 		const from = now;
-		health.recordTrouble('silent', now);
-		while (health.isResting(now)) {
+		health.recordFailure('silent', now);
+		while (health.isBackingOff(now)) {
 			now += 100;
 		}
 
@@ -192,18 +192,18 @@
 
 test('plans that their node does not carry out are forgotten, young ones are not', () => {
 	const planner = createPlanner();
-	const kept = planNow(planner, ask(5000, short), 0);
-	planNow(planner, ask(5000, short), 0);
-	planNow(planner, ask(5000, short), 900);
+	const kept = planNow(planner, createPlanRequest(5000, shortOptions), 0);
+	planNow(planner, createPlanRequest(5000, shortOptions), 0);
+	planNow(planner, createPlanRequest(5000, shortOptions), 900);
 	expect(planner.reconcile('edge-1' as BoxId, new Set([kept.planId]), 1000)).toBe(1);
 	expect(planner.planCount).toBe(2);
 });
 
 test('the plans of a dead node are forgotten, and those whose time is over', () => {
 	const planner = createPlanner();
-	planNow(planner, ask(5000, {...short, node: 'edge-2' as BoxId}), 0);
-	planNow(planner, ask(5000, {...short, patience: 500}), 0);
-	planner.forgetNode('edge-2' as BoxId, 0);
+	planNow(planner, createPlanRequest(5000, {...shortOptions, node: 'edge-2' as BoxId}), 0);
+	planNow(planner, createPlanRequest(5000, {...shortOptions, patience: 500}), 0);
+	planner.releaseNode('edge-2' as BoxId, 0);
 	expect(planner.planCount).toBe(1);
 	planner.prune(2000);
 	expect(planner.planCount).toBe(0);
@@ -216,22 +216,22 @@
 	const patient = {
 		objective: 30_000, patience: 60_000, longestPause: 30_000, excluded,
 	};
-	const waiting = ask(270_000, patient);
-	const long = planNow(planner, ask(270_000, patient));
+	const waiting = createPlanRequest(270_000, patient);
+	const long = planNow(planner, createPlanRequest(270_000, patient));
 	expect(planner.decide(waiting, 20_000).unsafeCoerce()).toMatchObject({kind: 'wait', reason: 'memory'});
-	planner.note({
+	planner.recordEvent({
 		planId: long.planId, kind: 'failed', server: old.id, trouble: 'unreached',
 	}, 20_000);
 	const born = {...old, id: `${old.name}@2` as BackendServerId, entryRevision: 2};
 	planner.setServers([born, other], engine);
 	const next = planNow(planner, {...waiting, waited: 1}, 20_001);
 	expect([next.server, next.startIn]).toEqual([born.id, 0]);
-	planner.note({
+	planner.recordEvent({
 		planId: long.planId, kind: 'failed', server: old.id, trouble: 'silent',
 	}, 20_002);
-	planner.note({planId: long.planId, kind: 'ended'}, 20_002);
+	planner.recordEvent({planId: long.planId, kind: 'ended'}, 20_002);
 	expect(planner.planCount).toBe(1);
-	expect(planner.decide(ask(270_000, patient), 40_000).unsafeCoerce()).toMatchObject({kind: 'wait', reason: 'memory'});
+	expect(planner.decide(createPlanRequest(270_000, patient), 40_000).unsafeCoerce()).toMatchObject({kind: 'wait', reason: 'memory'});
 });
 
 // A server whose entry somebody else overwrites takes no new work until its own entry is back, and what it runs goes on.
@@ -242,18 +242,18 @@
 	const servers = createServers(2);
 	const first = createPlanner(1);
 	const patient = {objective: 30_000, patience: 60_000, longestPause: 30_000};
-	const long = planNow(first, ask(270_000, patient));
-	const wantsRoom = () => ask(200_000, patient);
+	const long = planNow(first, createPlanRequest(270_000, patient));
+	const wantsRoom = () => createPlanRequest(200_000, patient);
 	const second = new Planner({ids: createIds(), engine});
 	second.setServers(servers.slice(1), engine);
 	second.adopt([long], 0);
 	first.setServers([], engine);
-	first.note({planId: long.planId, kind: 'started'}, 3000);
+	first.recordEvent({planId: long.planId, kind: 'started'}, 3000);
 	for (const planner of [first, second]) {
 		planner.setServers(servers.slice(0, 1), engine);
 		const decided = planner.decide(wantsRoom(), 20_000).unsafeCoerce();
 		expect(decided).toMatchObject({kind: 'wait', reason: 'memory'});
-		planner.note({planId: long.planId, kind: 'ended'}, 20_000);
+		planner.recordEvent({planId: long.planId, kind: 'ended'}, 20_000);
 		expect(planner.decide(wantsRoom(), 20_000).unsafeCoerce().kind).toBe('plan');
 	}
 });
@@ -265,7 +265,7 @@
 		const planner = createPlanner(count);
 		const held = new Map<BackendServerId, number>();
 		for (const [index, tokens] of prompts.entries()) {
-			planner.decide(ask(tokens, tokens < 24_000 ? short : {}), index * 5).ifRight(decision => {
+			planner.decide(createPlanRequest(tokens, tokens < 24_000 ? shortOptions : {}), index * 5).ifRight(decision => {
 				if (decision.kind === 'plan' && tokens >= 24_000) {
 					const {plan} = decision;
 					held.set(plan.server, (held.get(plan.server) ?? 0) + plan.ownTokens);
@@ -285,7 +285,7 @@
 		const used = createPlanner();
 		const plans: PlanId[] = [];
 		for (const tokens of prompts) {
-			used.decide(ask(tokens, tokens < 24_000 ? short : {}), 0).ifRight(decision => {
+			used.decide(createPlanRequest(tokens, tokens < 24_000 ? shortOptions : {}), 0).ifRight(decision => {
 				if (decision.kind === 'plan') {
 					plans.push(decision.plan.planId);
 				}
@@ -293,10 +293,10 @@
 		}
 
 		for (const planId of plans) {
-			used.note({planId, kind: 'ended'}, 0);
+			used.recordEvent({planId, kind: 'ended'}, 0);
 		}
 
-		const request = ask(5000, short);
+		const request = createPlanRequest(5000, shortOptions);
 		const later = 60_000;
 		const fresh = planNow(createPlanner(), request, later);
 		const again = planNow(used, request, later);
@@ -306,15 +306,15 @@
 
 test('a pause shorter than all before does not leave short requests counted for ever', () => {
 	const planner = createPlanner();
-	const first = planNow(planner, ask(20_000, short));
-	const second = planNow(planner, ask(20_000, {...short, longestPause: 60}));
+	const first = planNow(planner, createPlanRequest(20_000, shortOptions));
+	const second = planNow(planner, createPlanRequest(20_000, {...shortOptions, longestPause: 60}));
 	for (const plan of [first, second]) {
-		planner.note({planId: plan.planId, kind: 'ended'}, 0);
+		planner.recordEvent({planId: plan.planId, kind: 'ended'}, 0);
 	}
 
-	const later = planNow(planner, ask(1000, {...short, longestPause: 60}), 60_000);
+	const later = planNow(planner, createPlanRequest(1000, {...shortOptions, longestPause: 60}), 60_000);
 	const fresh = createPlanner();
-	fresh.decide(ask(1000, {...short, longestPause: 60}), 60_000);
+	fresh.decide(createPlanRequest(1000, {...shortOptions, longestPause: 60}), 60_000);
 	expect([planner.planCount, planner.shortCount]).toEqual([1, fresh.shortCount]);
 	expect(later.server).toBeDefined();
 });
@@ -323,7 +323,7 @@
 	fc.assert(fc.property(fc.array(tokensArbitrary, {maxLength: 30}), prompts => {
 		const [left, right] = [createPlanner(), createPlanner()];
 		return prompts.every((tokens, index) => {
-			const request = ask(tokens, tokens < 24_000 ? short : {});
+			const request = createPlanRequest(tokens, tokens < 24_000 ? shortOptions : {});
 			const decisions = [left, right].map(planner => JSON.stringify(planner.decide(request, index * 10).extract()));
 			return decisions[0] === decisions[1];
 		});
@@ -335,19 +335,19 @@
 test('requests that found a server silent together cost it one rest, not its trust', () => {
 	const health = new ServerHealth();
 	for (let index = 0; index < 8; index++) {
-		health.recordTrouble('silent', index);
+		health.recordFailure('silent', index);
 	}
 
-	expect([health.isResting(500), health.isResting(1500), health.isDoubtful(1500)]).toEqual([true, false, false]);
+	expect([health.isBackingOff(500), health.isBackingOff(1500), health.isUnreliable(1500)]).toEqual([true, false, false]);
 });
 
 test('a server that is silent after each of its rests is doubted', () => {
 	const health = new ServerHealth();
 	for (const now of [0, 1500, 4000]) {
-		health.recordTrouble('silent', now);
+		health.recordFailure('silent', now);
 	}
 
-	expect(health.isDoubtful(4000)).toBe(true);
+	expect(health.isUnreliable(4000)).toBe(true);
 });
 
 /** How long a request runs on the played servers, in milliseconds: some thirty run at once, on places for thirty-three. */
@@ -361,22 +361,22 @@
 	const running: Array<{plan: Plan; endsAt: number}> = [];
 	for (let now = 0; now < length; now += 50) {
 		for (const {plan} of running.splice(0, running.findIndex(({endsAt}) => endsAt > now))) {
-			planner.note({planId: plan.planId, kind: 'ended'}, now);
+			planner.recordEvent({planId: plan.planId, kind: 'ended'}, now);
 		}
 
-		const plan = planNow(planner, ask(2000, short), now);
+		const plan = planNow(planner, createPlanRequest(2000, shortOptions), now);
 		const isFailed = plan.server === bad.id && now < wellFrom;
 		if (plan.server === bad.id) {
 			tried.push(now);
 		}
 
 		if (isFailed) {
-			planner.note({
+			planner.recordEvent({
 				planId: plan.planId, kind: 'failed', server: plan.server, trouble: 'spoiled',
 			}, now + 30);
-			planner.note({planId: plan.planId, kind: 'ended'}, now + 30);
+			planner.recordEvent({planId: plan.planId, kind: 'ended'}, now + 30);
 		} else {
-			planner.note({planId: plan.planId, kind: 'started'}, now + 30);
+			planner.recordEvent({planId: plan.planId, kind: 'started'}, now + 30);
 			running.push({plan, endsAt: now + runsFor});
 		}
 	}
--- a/test/routed-replay.test.ts
+++ b/test/routed-replay.test.ts
@@ -4,7 +4,7 @@
 import {
 	drawDay, measureRouted, PassJob, PassServer, replayRouted, stallTime, workloads, type PassListener, type Workload,
 } from '../src/replay/routed/index.js';
-import {computePassTime, computeReadTime} from '../src/planning/index.js';
+import {computePassTime, computePrefillTime} from '../src/planning/index.js';
 
 const workload = workloads[0];
 
@@ -73,7 +73,7 @@
 	});
 	timers.fireAll();
 	const pauses = events.slice(1).map((at, index) => at - events[index]);
-	expect(Math.max(...pauses)).toBeGreaterThan(computeReadTime(workload.engine, 40_000));
+	expect(Math.max(...pauses)).toBeGreaterThan(computePrefillTime(workload.engine, 40_000));
 });
 
 test('the first event of a joint read comes after its last part', () => {
@@ -89,7 +89,7 @@
 	first.submit(job);
 	helper.help(job);
 	timers.fireAll();
-	expect(events[0]).toBeGreaterThan(computeReadTime(workload.engine, 100_000, 2));
+	expect(events[0]).toBeGreaterThan(computePrefillTime(workload.engine, 100_000, 2));
 });
 
 test('a server that dies loses what depends on it', () => {
--- a/test/server-board.test.ts
+++ b/test/server-load.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from '@jest/globals';
 import fc from 'fast-check';
 import type {PlanId} from '../src/common/index.js';
-import {ServerBoard, startWork, type Work} from '../src/planning/server-board.js';
+import {ServerLoad, markTaskStarted, type Task} from '../src/planning/server-load.js';
 import {createServers} from './helpers/planning.js';
 
 /** What happens to a server's work; times in milliseconds. */
@@ -18,26 +18,26 @@
 	fc.record({kind: fc.constant('pass' as const), time: fc.integer({min: 0, max: 600})}),
 );
 
-function createWork(index: number, now: number, {isLong, readTime, readFor}: {isLong: boolean; readTime: number; readFor: number}): Work {
+function createWork(index: number, now: number, {isLong, readTime, readFor}: {isLong: boolean; readTime: number; readFor: number}): Task {
 	return {
 		planId: `plan-${index}` as PlanId,
 		isHelper: false,
 		isLong,
-		readUntil: now + readFor,
-		readTime,
+		prefillEnd: now + readFor,
+		prefillTime: readTime,
 		heldTokens: 0,
 		promptTokens: 1000,
 		contextTokens: 1000,
 		hasStarted: false,
-		hasLostPause: false,
+		hasExceededPause: false,
 	};
 }
 
 /** Reading left and the end of the last long read, by looking at all work. */
-function sumReading(works: Work[], now: number): [number, number] {
+function sumReading(works: Task[], now: number): [number, number] {
 	let sum = 0;
 	let end = now;
-	for (const {hasStarted, isLong, readTime, readUntil} of works) {
+	for (const {hasStarted, isLong, prefillTime: readTime, prefillEnd: readUntil} of works) {
 		if (!hasStarted && readUntil > now) {
 			sum += Math.min(readTime, readUntil - now);
 			end = isLong ? Math.max(end, readUntil) : end;
@@ -50,8 +50,8 @@
 // A board looks no more at work that it has once seen read. The reading left must be the same as if it looked at all of it.
 test('the reading left at a server is that of all its work, whatever is added, begun and taken out as time passes', () => {
 	fc.assert(fc.property(fc.array(eventDraw, {maxLength: 60}), events => {
-		const board = new ServerBoard(createServers(1)[0]);
-		const works: Work[] = [];
+		const board = new ServerLoad(createServers(1)[0]);
+		const works: Task[] = [];
 		let now = 0;
 		for (const [index, event] of events.entries()) {
 			if (event.kind === 'add') {
@@ -63,13 +63,13 @@
 			} else if (works.length > 0) {
 				const at = event.index % works.length;
 				if (event.kind === 'start') {
-					startWork(works[at], now);
+					markTaskStarted(works[at], now);
 				} else {
 					board.remove(works.splice(at, 1)[0].planId);
 				}
 			}
 
-			expect([board.findPendingRead(now), board.findLongReadEnd(now)]).toEqual(sumReading(works, now));
+			expect([board.computePendingPrefill(now), board.findLongPrefillEnd(now)]).toEqual(sumReading(works, now));
 		}
 	}), {seed: 3, numRuns: 500});
 });
