--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -20,10 +20,10 @@
 let store: StandinStore;
 let source: PlatformSource;
 const wire = new CallWire();
-/** A call that nobody breaks off. */
+/** Options of a call that is never aborted. */
 const call: SourceCall = {signal: new AbortController().signal, isOnNewConnection: false, onData() {}}; // eslint-disable-line @typescript-eslint/no-empty-function
 
-/** A call that is broken off after so many milliseconds. */
+/** Creates options of a call that is aborted after a time in milliseconds. */
 function createCall(timeout: number): SourceCall {
 	return {...call, signal: createTimeout(systemClock, timeout).signal};
 }
@@ -34,7 +34,7 @@
 	source = new PlatformSource(store.address, createSilentLogger());
 });
 
-/** What a test has opened besides; closed also when it fails. */
+/** Further resources that a test has opened; closed after it, also when it fails. */
 let openResources: Array<{close: () => Promise<void>}>;
 
 afterEach(async () => {
@@ -43,7 +43,7 @@
 	await store.stop();
 });
 
-/** A source that reads from another store. */
+/** Opens a source that reads from another store. */
 async function openSourceAt(server: LoopbackServer): Promise<PlatformSource> {
 	await server.start();
 	const otherSource = new PlatformSource(server.address, createSilentLogger());
@@ -60,7 +60,7 @@
 	service: 'model', address: '10.0.0.1:80', zone: 'north', version: 'v1', slots: 11, state: 'ready', coldRemainingMs: 0, sequence: 4,
 };
 
-test('a configuration is decoded into the project\'s own terms', () => {
+test('a configuration is decoded into the gateway\'s types', () => {
 	const config = decodeConfig(createConfig(7));
 	expect(config.version).toBe(7);
 	expect(config.routes.map(route => [route.kind, route.timeLimit, route.objective, route.longestPause, route.attempts, route.canResume])).toEqual([
@@ -76,7 +76,7 @@
 	expect(config.routes[0].services).toEqual([{service: 'x', weight: 90}, {service: 'y', weight: 10}]);
 });
 
-test('callers of a stream leave after two seconds, four objectives or eight pauses, whichever is longest', () => {
+test('the longest silence of a stream is two seconds, four objectives or eight pauses, whichever is longest', () => {
 	const [route] = (createConfig(1).routes as Array<Record<string, unknown>>);
 	const silences = [{targetLatencyMs: 300, gap_aim_ms: 200}, {targetLatencyMs: 1500, gap_aim_ms: 600}, {targetLatencyMs: 300, gap_aim_ms: 600}].map(figures =>
 		decodeConfig(createConfig(1, {routes: [{...route, kind: 'streaming', ...figures}]})).routes[0].longestSilence);
@@ -84,13 +84,13 @@
 	expect(decodeConfig(createConfig(1, {routes: [{...route, kind: 'idempotent'}]})).routes[0].longestSilence).toBeUndefined();
 });
 
-test('a configuration with a missing or wrong field is refused by its name', () => {
+test('a configuration with a missing or invalid field is rejected with the name of the field', () => {
 	expect(() => decodeConfig({...createConfig(1), version: 'seven'})).toThrow('version');
 	expect(() => decodeConfig({...createConfig(1), routes: {name: 'r'}})).toThrow('routes');
 	expect(() => decodeConfig({...createConfig(1), routes: [{name: 'r'}, 'r']})).toThrow('none of its routes');
 });
 
-test('an entry of a server is decoded, one with an unknown state is refused', () => {
+test('an entry of a server is decoded, one with an unknown state is rejected', () => {
 	const decode = (spec: unknown) => decodeServer({metadata: {name: 'i-1', revision: 7}, spec});
 	expect(decode(serverSpec)).toEqual({
 		id: 'i-1', name: 'i-1', entryRevision: 7, service: 'model', address: '10.0.0.1:80', availabilityZone: 'north', slots: 11, isLeaving: false,
@@ -99,7 +99,7 @@
 	expect(() => decode({...serverSpec, state: 'asleep'})).toThrow('state');
 });
 
-test('all pages of a list are read, also when there are many', async () => {
+test('all pages of a list are read', async () => {
 	store.pageSize = 3;
 	for (let index = 0; index < 10; index++) {
 		store.put('servers', `i-${index}`, serverSpec);
@@ -110,7 +110,7 @@
 	expect([listing.items.length, listing.revision]).toEqual([10, 10]);
 });
 
-test('an object that cannot be read is left out, the others count', async () => {
+test('an object that cannot be decoded is reported as foreign, the others are listed', async () => {
 	store.put('servers', 'i-1', serverSpec);
 	store.put('servers', 'i-2', {service: 5});
 	const listed = await source.servers.list(call);
@@ -119,7 +119,7 @@
 	expect(listing.foreign).toEqual(['i-2']);
 });
 
-test('the life of a server is its name and its start; a start that is no whole number is written by somebody else', () => {
+test('the id of a server is its name and its start time; a start time that is not an integer is rejected', () => {
 	const decode = (born: unknown) => decodeServer({metadata: {name: 'i-1', revision: 7}, spec: {...serverSpec, born}});
 	expect([undefined, 1_733_000_000_000, 0].map(born => decode(born).id)).toEqual(['i-1', 'i-1@1733000000000', 'i-1@0']);
 	for (const born of ['1733000000000', 1.5, null, Number.NaN]) {
@@ -127,7 +127,7 @@
 	}
 });
 
-test('an entry without one of the fields of a server, or with one of another type, is refused by its name', () => {
+test('an entry with a missing or invalid field is rejected with the name of the field', () => {
 	for (const field of Object.keys(serverSpec)) {
 		const spec = {...serverSpec, [field]: field === 'slots' ? '11' : []};
 		expect(() => decodeServer({metadata: {name: 'i-1'}, spec})).toThrow(field);
@@ -138,7 +138,7 @@
 	expect(() => decodeServer({metadata: {name: 'i-1'}, spec: 'ready'})).toThrow();
 });
 
-test('whatever else stands in a list or comes as a change, the servers in it are taken', async () => {
+test('valid servers are read from a list and from changes with arbitrary other values', async () => {
 	await fc.assert(fc.asyncProperty(fc.array(fc.anything(), {maxLength: 4}), fc.array(fc.anything(), {maxLength: 4}), async (before, after) => {
 		const own = {metadata: {name: 'i-1', revision: 3}, spec: serverSpec};
 		const text = JSON.stringify([...before, own, ...after]);
@@ -158,7 +158,7 @@
 	}), {seed: 77, numRuns: 60});
 });
 
-test('an address whose port can be none is written by somebody else', () => {
+test('an address with an invalid port is rejected', () => {
 	for (const address of ['10.0.0.1:0', '10.0.0.1:65536', '10.0.0.1:99999']) {
 		expect(() => decodeServer({metadata: {name: 'i-1'}, spec: {...serverSpec, address}})).toThrow('address');
 	}
@@ -166,7 +166,7 @@
 	expect(decodeServer({metadata: {name: 'i-1'}, spec: {...serverSpec, address: 'runner:65535'}}).address).toBe('runner:65535');
 });
 
-/** A store whose answers are whatever bytes a test gives it, as pages of so many objects in the order of their names. */
+/** A store that serves raw bytes as objects, in pages of `pageSize` objects in the order of their names. */
 class RawStore extends LoopbackServer {
 	objects: Array<{name: string; bytes: Uint8Array}> = [];
 	pageSize = 2;
@@ -187,9 +187,9 @@
 	}
 }
 
-// A page of objects without readable names, with more to come, was taken for the end of the list: all servers on later
-// pages vanished from the view, while the node took the list for whole.
-test('a list whose next page cannot be asked for is no list', async () => {
+// Guards against an incomplete list: if a page of objects without valid names, with more pages to come, counts as the end
+// of the list, all servers on later pages disappear from the view.
+test('a list whose next page cannot be requested is a failure', async () => {
 	const raw = new RawStore();
 	const otherSource = await openSourceAt(raw);
 	raw.objects = ['a', 'b', 'c'].map(name => ({name, bytes: Buffer.from(name === 'c' ? JSON.stringify({metadata: {name, revision: 3}, spec: serverSpec}) : '{"metadata":{"name":7}}')}));
@@ -197,7 +197,7 @@
 	expect(listed.swap().unsafeCoerce().kind).toBe('unreachable');
 });
 
-test('an object with a name and an odd revision is written by somebody else, in a list and as a change', async () => {
+test('an object with a name and an invalid revision is foreign, in a list and as a change', async () => {
 	const raw = new RawStore();
 	const otherSource = await openSourceAt(raw);
 	for (const revision of ['7', null, 1.5, -1, {}]) {
@@ -208,19 +208,19 @@
 	}
 });
 
-/** Whatever may stand where a field does. */
+/** Arbitrary values of a field, valid or not. */
 const arbitraryField = fc.oneof(
 	fc.constantFrom(undefined, null, '', 'ready', '10.0.0.9:80', '10.0.0.9:99999', -1, 0, 1.5, 1e300, 2 ** 53, true),
 	fc.anything({maxDepth: 1}),
 );
 
-/** What somebody else may write in the place of an entry: up to three fields missing or whatever, or no object at all. */
+/** Entries of another writer: up to three fields missing or arbitrary, or no object at all. */
 const foreignSpec = fc.oneof(
 	fc.dictionary(fc.constantFrom(...Object.keys(serverSpec), 'born'), arbitraryField, {minKeys: 1, maxKeys: 3}).map(changes => ({...serverSpec, ...changes})),
 	fc.anything({maxDepth: 2}),
 );
 
-/** As JSON, where endless numbers and big ones come as a store would write them. */
+/** Formats JSON in which infinite and big numbers are written as a store may write them. */
 function formatWire(value: unknown): string {
 	const text = JSON.stringify(value, (_key, field: unknown) => {
 		if (typeof field === 'bigint') {
@@ -235,14 +235,14 @@
 const invalidText = fc.uint8Array({minLength: 1, maxLength: 4}).map(bytes =>
 	Buffer.concat([Buffer.from('{"service":"'), Buffer.from(bytes.map(byte => (byte % 128) + 128)), Buffer.from('","state":"ready"}')]));
 
-/** What a server that may be used must be, by the page; written apart from the decoder. */
+/** Whether a server is valid by the platform's specification; independent of the decoder. */
 function isUsable(server: BackendServer): boolean {
 	const [host, port, ...rest] = server.address.split(':');
 	return server.service.length > 0 && Number.isSafeInteger(server.slots) && server.slots > 0 && rest.length === 0
 		&& host !== '' && Number(port) > 0 && Number(port) <= 65_535 && server.entryRevision === 3;
 }
 
-test('whatever others write beside them, on whichever page, and however its bytes are broken, own servers are taken, and the rest is named as foreign or could be a server', async () => {
+test('among arbitrary entries of other writers, with invalid bytes and on any page, own servers are read, and each other entry is foreign or a valid server', async () => {
 	const raw = new RawStore();
 	const otherSource = await openSourceAt(raw);
 	const specs = fc.array(fc.oneof({weight: 4, arbitrary: foreignSpec.map(spec => Buffer.from(formatWire(spec)))}, invalidText), {maxLength: 8});
@@ -264,7 +264,7 @@
 	}), {seed: 20_261_203, numRuns: 300});
 });
 
-test('whatever comes instead of a page or of events is told as a source that does not answer', async () => {
+test('an invalid page or list of events is a failure of kind unreachable', async () => {
 	let text: Uint8Array = Buffer.from('');
 	const otherSource = await openSourceAt(new LoopbackServer(async (_request, response) => {
 		response.writeHead(200, {'content-type': 'application/json'});
@@ -283,7 +283,7 @@
 	}), {seed: 20_261_203, numRuns: 200});
 });
 
-test('changes after a revision come as they are made, gone ones too', async () => {
+test('changes after a revision are delivered as they are made, removals too', async () => {
 	store.put('servers', 'i-1', serverSpec);
 	const waiting = source.servers.follow({revision: 1, wait: 2000}, call);
 	setTimeout(() => {
@@ -294,9 +294,9 @@
 	expect(changes).toEqual({changes: [{name: 'i-1', item: undefined, revision: 1}], revision: 2});
 });
 
-// A configuration was read as a whole or not at all: one route without a prefix kept every later version from all nodes, for as
-// long as it stood there (`object_foreign` once a version, and no `config_applied`).
-test('one route that cannot be read costs no other route, key or later version', async () => {
+// Guards against rejecting a whole configuration for one invalid route: such a route kept every later version from all
+// nodes (`object_foreign` once per version, and no `config_applied`).
+test('an invalid route affects no other route, key or later version', async () => {
 	const log = new LogCapture();
 	const own = new PlatformSource(store.address, createLogger('info', log));
 	const config = createConfig(4);
@@ -311,14 +311,14 @@
 	await own.close();
 });
 
-test('a watch without changes comes back empty', async () => {
+test('a watch without changes returns none', async () => {
 	store.put('servers', 'i-1', serverSpec);
 	const followed = await source.servers.follow({revision: 1, wait: 60}, call);
 	const changes = followed.unsafeCoerce();
 	expect(changes).toEqual({changes: [], revision: 1});
 });
 
-test('a forgotten history is told apart from a store that is away', async () => {
+test('a lost history is distinguished from an unreachable store', async () => {
 	store.put('servers', 'i-1', serverSpec);
 	store.put('servers', 'i-2', serverSpec);
 	store.forgetHistory();
@@ -328,7 +328,7 @@
 	expect([lost, busy].map(result => result.swap().unsafeCoerce().kind)).toEqual(['history_lost', 'unreachable']);
 });
 
-test('a call to a silent store ends when nobody wants its answer any more', async () => {
+test('a call to a silent store ends when it is aborted', async () => {
 	store.trouble = 'silent';
 	const started = Date.now();
 	const followed = await source.servers.follow({revision: 1, wait: 100}, createCall(500));
@@ -336,7 +336,7 @@
 	expect(Date.now() - started).toBeLessThan(2500);
 });
 
-test('after a call without an answer the next one does not go out on a connection that may be silent too', async () => {
+test('after an unanswered call the next one uses a new connection', async () => {
 	store.put('config', 'main', createConfig(1));
 	await Promise.all([source.configurations.list(call), source.servers.list(call)]);
 	store.silenceConnections();
@@ -346,7 +346,7 @@
 	expect([lost.isLeft(), listed.isRight()]).toEqual([true, true]);
 });
 
-test('a node registers over an entry that an earlier life left', async () => {
+test('a node registers over an entry of its previous incarnation', async () => {
 	const registered = [await source.register({name: 'edge-1', peerAddress: '10.0.0.1:1'}, call), await source.register({name: 'edge-1', peerAddress: '10.0.0.2:1'}, call)];
 	expect(registered.every(result => result.isRight())).toBe(true);
 	const nodes = await source.listNodes(call);
@@ -369,7 +369,7 @@
 	'x-own': 'kept',
 };
 
-test('a caller\'s head is read, and what it may not set is dropped', () => {
+test('a caller\'s head is parsed, and fields that it may not set are dropped', () => {
 	const head = wire.readCallHead('POST', '/a/?b', callHeaders).unsafeCoerce();
 	expect(head).toMatchObject({
 		requestId: '9c41', host: 'shop.example', key: 'key', timeLeft: 10_000, lastEventId: 12, promptTokens: 1460, outputTokens: 80, target: '/a/?b',
@@ -379,9 +379,9 @@
 	]);
 });
 
-// A count below 0 gave back memory that a server did not have, and one of three hundred digits made the price of
-// reading endless: every long prompt was refused for the ten seconds in which it counted as demand.
-test('token counts and event ids that can be none count as not stated', () => {
+// A negative count released memory that a server did not have, and one of three hundred digits made the estimated cost of
+// prefill infinite, so that every long prompt was rejected for the ten seconds in which it counted as demand.
+test('invalid token counts and event ids are treated as absent', () => {
 	const read = (counts: string, lastEventId: string) => {
 		const head = wire.readCallHead('POST', '/a/', {...callHeaders, 'cresshook-token-usage': counts, 'last-event-id': lastEventId}).unsafeCoerce();
 		return [head.promptTokens, head.outputTokens, head.lastEventId];
@@ -402,11 +402,11 @@
 	fc.constantFrom('', ' ', ',', '0x10', '1e400', 'Bearer ', 'Bearer k', 'keep-alive, x-own', 'close,,host', 'Cresshook-Attempt-Id'),
 );
 
-/** Fields that the gateway writes itself, and those of one connection: neither is passed on. */
+/** Fields that the gateway sets itself, and hop-by-hop fields: neither is forwarded. */
 const writtenFields = new Set(['cresshook-deadline-ms', 'cresshook-tenant', 'cresshook-target-instance', 'helpers', 'priority', 'authorization', 'last-event-id']);
 const connectionFields = new Set(['connection', 'keep-alive', 'te', 'upgrade', 'content-length', 'expect', 'trailer', 'transfer-encoding']);
 
-/** Heads as callers may send them: each field once, several times, or not at all. */
+/** Request heads with each field once, several times, or not at all. */
 const arbitraryHead = fc.dictionary(
 	fc.oneof({weight: 4, arbitrary: fc.constantFrom(...Object.keys(callHeaders), ...writtenFields, ...connectionFields)}, fc.stringMatching(/^x-[a-z]{1,4}$/)),
 	fc.oneof({weight: 4, arbitrary: headerText}, fc.array(headerText, {maxLength: 3}), fc.constant(undefined)),
@@ -421,7 +421,7 @@
 	helpers: fc.array(fc.record({address: fc.constant('10.0.0.1:80'), reservation: fc.option(fc.constant('t1'), {nil: undefined})}), {maxLength: 2}),
 });
 
-test('whatever a caller sends, its head is read or refused, and each of its sends has just what that one says', () => {
+test('an arbitrary head is parsed or rejected, and each send has exactly the fields of its own parameters', () => {
 	fc.assert(fc.property(arbitraryHead, fc.array(arbitrarySend, {maxLength: 5}), (fields, sends) => {
 		const read = wire.readCallHead('POST', '/a/', fields);
 		if (read.isLeft()) {
@@ -453,12 +453,12 @@
 	}), {seed: 20_261_203, numRuns: 2000});
 });
 
-test('a head without an id or a host is refused', () => {
+test('a head without an id or a host is rejected', () => {
 	expect(wire.readCallHead('GET', '/', {host: 'x'}).isLeft()).toBe(true);
 	expect(wire.readCallHead('GET', '/', {'cresshook-attempt-id': 'x'}).isLeft()).toBe(true);
 });
 
-test('what is sent to a server names the server, the organisation, the time left and the helpers', () => {
+test('a request to a server names the server, the organisation, the remaining time and the helpers', () => {
 	const call = wire.readCallHead('POST', '/a/', callHeaders).unsafeCoerce();
 	const send: BackendRequestHead = {
 		call, serverName: 'i-1' as BackendServerName, organisation: 'guild' as OrganisationId, timeLeft: 900, lastEventId: 14, urgency: 12,
@@ -470,7 +470,7 @@
 	});
 });
 
-test('an answer\'s head tells whose it is, whether it ran and whether its end can be trusted', () => {
+test('an answer\'s head shows whether it is genuine, declined, framed and encoded', () => {
 	const read = (status: number, headers: Record<string, string>) => {
 		const head = wire.readResponseHead(status, headers);
 		return [head.isSigned, head.isDeclined, head.isFramed, head.isEncoded];
@@ -482,12 +482,12 @@
 	expect(read(200, {'content-encoding': 'gzip'})).toEqual([false, false, false, true]);
 });
 
-test('a refusal tells when to come back, in seconds with fractions', () => {
+test('a failure states when to retry, in seconds with fractions', () => {
 	const failure = createFailure('overloaded', 'full', {retryAfterSeconds: 0.251_34});
 	expect(wire.formatFailureHeaders(failure, undefined)['retry-after']).toBe('0.251');
 });
 
-test('orders on memory are written as the server reads them', () => {
+test('memory reservations and releases are formatted as the server expects them', () => {
 	const reserve = wire.formatOrder({
 		kind: 'reserve', reservation: 't1', tokens: 5, holdFor: 3000,
 	});
@@ -497,7 +497,7 @@
 	expect(JSON.parse(wire.formatOrder({kind: 'release', reservation: 't1'}).body)).toEqual({op: 'release', id: 't1'});
 });
 
-test('words of the platform stand only in platform/', async () => {
+test('field and header names of the platform occur only in platform/', async () => {
 	const fieldWords = /\btenants?\b|timeoutMs|targetLatencyMs|maxAttempts|allowAnonymous|kvCapacity|per_seq_ms|coldRemaining|holdMs|ttlS/;
 	const headerWords = /cresshook-(?:attempt|response|token|prompt|deadline|target|not-exec|instance|tenant)/i;
 	const all = await readdir('src', {recursive: true});
