--- a/test/helpers/link-proxy.ts
+++ b/test/helpers/link-proxy.ts
@@ -1,17 +1,17 @@
-/** A narrow link before a node, whose open connections fall silent as a test asks. */
+/** A TCP proxy that limits bandwidth and can silence its open connections. */
 import {
 	connect, createServer, type AddressInfo, type Server, type Socket,
 } from 'node:net';
 
-/** Bytes that are sent on one connection before it is another one's turn: two segments. */
+/** Bytes sent on one connection before the next one's turn: two segments. */
 const sliceBytes = 2920;
 
-/** One connection through the link, both ways. */
+/** One proxied connection, in both directions. */
 type ProxiedConnection = {client: Socket; upstream: Socket; isSilent: boolean};
 
-/** Passes connections on to a node; what the node answers shares one link. */
+/** Forwards connections to a target; all answers share the bandwidth of one link. */
 export class LinkProxy {
-	/** Bytes of all answers that were passed on. */
+	/** Total bytes of forwarded answers. */
 	answerBytes = 0;
 	readonly #server: Server;
 	readonly #target: string;
@@ -19,7 +19,7 @@
 	readonly #connections = new Set<ProxiedConnection>();
 	#busyUntil = 0;
 
-	/** `rate`: bytes a millisecond; `Infinity` for a link that takes no time. */
+	/** `rate`: bytes per millisecond; `Infinity` for an unlimited link. */
 	constructor(target: string, rate = Infinity) {
 		this.#target = target;
 		this.#rate = rate;
@@ -32,7 +32,7 @@
 		return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
 	}
 
-	/** Connections that are open and pass something on. */
+	/** Number of open connections that are not silenced. */
 	get openConnectionCount(): number {
 		return [...this.#connections].filter(connection => !connection.isSilent).length;
 	}
@@ -44,7 +44,7 @@
 		return this;
 	}
 
-	/** Makes open connections silent for good, both ways, without a word to either end; new ones are passed on. */
+	/** Silences up to `max` open connections permanently, in both directions and without closing them; new ones are forwarded. */
 	silenceConnections(max = Infinity): void {
 		for (const connection of [...this.#connections].slice(0, max)) {
 			connection.isSilent = true;
@@ -52,7 +52,7 @@
 	}
 
 	async stop(): Promise<void> {
-		for (const {client: client, upstream: upstream} of this.#connections) {
+		for (const {client, upstream} of this.#connections) {
 			client.destroy();
 			upstream.destroy();
 		}
@@ -65,7 +65,7 @@
 	#forward(client: Socket): void {
 		const [host, port] = this.#target.split(':');
 		const upstream = connect(Number(port), host);
-		const connection = {client: client, upstream: upstream, isSilent: false};
+		const connection = {client, upstream, isSilent: false};
 		this.#connections.add(connection);
 		client.on('data', bytes => {
 			if (!connection.isSilent) {
@@ -87,7 +87,7 @@
 		}
 	}
 
-	/** Sends an answer slice by slice, in turn with those on other connections. */
+	/** Sends an answer in slices, interleaved with those on other connections. */
 	async #send(connection: ProxiedConnection, bytes: Uint8Array): Promise<void> {
 		for (let start = 0; start < bytes.length && !connection.client.destroyed; start += sliceBytes) {
 			const slice = bytes.subarray(start, start + sliceBytes);
--- a/test/helpers/logs.ts
+++ b/test/helpers/logs.ts
@@ -1,7 +1,7 @@
-/** Log lines that a test reads. */
+/** Captures log lines for assertions. */
 import {Writable} from 'node:stream';
 
-/** Keeps what is written to it. */
+/** A stream that keeps all written log lines. */
 export class LogCapture extends Writable {
 	text = '';
 
@@ -10,7 +10,7 @@
 		done();
 	}
 
-	/** The lines of one event, in order. */
+	/** Lists the lines of one event, in order. */
 	listEvents(event: string): Array<Record<string, unknown>> {
 		return this.text.split('\n').filter(line => line !== '').map(line => JSON.parse(line) as Record<string, unknown>).filter(line => line.event === event);
 	}
--- a/test/helpers/platform-standins.ts
+++ b/test/helpers/platform-standins.ts
@@ -1,15 +1,15 @@
-/** Small stand-ins for the platform: its object store and its runners, over loopback sockets. */
+/** Test doubles of the platform, over loopback sockets: its object store and its model servers (runners). */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
 import {processHost} from './process-host.js';
 
-/** Something that listens on loopback. A caller that leaves before its request is read gets no answer. */
+/** An HTTP server on a loopback address. A handler error is ignored if the client disconnected before its request was read. */
 export class LoopbackServer {
 	readonly server: Server;
 	readonly sockets = new Set<Socket>();
-	/** Connections that say nothing any more, though they stay open. */
+	/** Connections that stay open but get no more answers. */
 	readonly #silenced = new WeakSet<Socket>();
 
 	constructor(handle: (request: IncomingMessage, response: ServerResponse) => Promise<void>) {
@@ -27,7 +27,7 @@
 		return `${address}:${port}`;
 	}
 
-	/** Starts on a port; a free one by default, at an address that only this process uses. */
+	/** Listens on a port; by default a free one, at an address that only this process uses. */
 	async start(port = 0, host = processHost): Promise<this> {
 		await new Promise<void>(resolve => {
 			this.server.listen(port, host, resolve);
@@ -35,19 +35,19 @@
 		return this;
 	}
 
-	/** Makes every open connection silent for good; new ones are answered. */
+	/** Silences all open connections permanently; new ones are answered. */
 	silenceConnections(): void {
 		for (const socket of this.sockets) {
 			this.silenceConnection(socket);
 		}
 	}
 
-	/** Makes one connection silent for good. */
+	/** Silences one connection permanently. */
 	silenceConnection(socket: Socket): void {
 		this.#silenced.add(socket);
 	}
 
-	/** Whether a connection was made silent. */
+	/** Whether a connection was silenced. */
 	isSilenced(socket: Socket): boolean {
 		return this.#silenced.has(socket);
 	}
@@ -79,17 +79,17 @@
 	}
 }
 
-/** Delay of a slow store, in milliseconds. */
+/** Answer delay of a slow store, in milliseconds. */
 const slowAnswerDelay = 900;
 
 type StoredObject = {metadata: {name: string; revision: number}; spec: unknown};
 type StoreEvent = {kind: string; revision: number; gone: boolean; object: StoredObject};
 
-/** The object store: lists in pages, watches, and the troubles that a test asks for. */
+/** The object store, with paged lists, watches and injected faults. */
 export class StandinStore extends LoopbackServer {
-	/** Objects on one page of a list. */
+	/** Number of objects on one page of a list. */
 	pageSize = 50;
-	/** `silent` answers nothing, `busy` answers 503, `slow` answers late, `lossy` does every second write without an answer. */
+	/** Injected fault: `silent` never answers, `busy` answers 503, `slow` answers late, `lossy` performs every second write without an answer. */
 	trouble: 'none' | 'silent' | 'busy' | 'slow' | 'lossy' = 'none';
 	readonly calls: string[] = [];
 	readonly #objects = new Map<string, Map<string, StoredObject>>();
@@ -97,14 +97,14 @@
 	#revision = 0;
 	#oldestRevision = 0;
 	readonly #waitingWatches = new Set<() => void>();
-	/** Connections of watches that wait, and what they watch. */
+	/** Connections with a waiting watch, and the kind of object that it watches. */
 	readonly #watchedKinds = new Map<Socket, string>();
 
 	constructor() {
 		super(async (request, response) => this.#answer(request, response));
 	}
 
-	/** Writes an object as operators and runners do. */
+	/** Writes an object, as operators and runners do. */
 	put(kind: string, name: string, spec: unknown): void {
 		const object = {metadata: {name, revision: ++this.#revision}, spec};
 		this.#getObjects(kind).set(name, object);
@@ -129,19 +129,19 @@
 		await super.stop();
 	}
 
-	/** Forgets all history: watches from before answer 410. */
+	/** Drops the history: watches from an earlier revision answer 410. */
 	forgetHistory(): void {
 		this.#events = [];
 		this.#oldestRevision = this.#revision;
 		this.#wakeAll();
 	}
 
-	/** Watches that wait for a change at the moment. */
+	/** Number of watches that currently wait for a change. */
 	get waitingWatches(): number {
 		return this.#waitingWatches.size;
 	}
 
-	/** Makes the connections silent for good on which watches of a kind wait; all others are answered. */
+	/** Permanently silences the connections on which watches of a kind wait; others are answered. */
 	silenceWatches(kind: string): void {
 		for (const [socket, watched] of this.#watchedKinds) {
 			if (watched === kind) {
@@ -150,12 +150,12 @@
 		}
 	}
 
-	/** What an object holds; undefined when there is none. */
+	/** Returns the spec of an object; undefined when there is none. */
 	get(kind: string, name: string): unknown {
 		return this.#getObjects(kind).get(name)?.spec;
 	}
 
-	/** Names of the objects of a kind. */
+	/** Lists the names of the objects of a kind. */
 	listNames(kind: string): string[] {
 		return [...this.#getObjects(kind).keys()];
 	}
@@ -185,7 +185,7 @@
 		}
 
 		if (this.trouble === 'slow') {
-			// An answer that nobody waits for any more must not keep the process.
+			// An answer that is no longer awaited must not keep the process alive.
 			await new Promise(resolve => {
 				setTimeout(resolve, slowAnswerDelay).unref();
 			});
@@ -227,7 +227,7 @@
 		sendJson(response, this.#getObjects(kind).get(target));
 	}
 
-	/** A write that changes nothing but a heartbeat's count raises no revision and tells nobody. */
+	/** Writes an object; one that changes only the heartbeat sequence gets no new revision and publishes no event. */
 	#store(kind: string, name: string, spec: unknown): void {
 		const before = this.#getObjects(kind).get(name);
 		if (before !== undefined && JSON.stringify({...before.spec as Record<string, unknown>, sequence: 0}) === JSON.stringify({...spec as Record<string, unknown>, sequence: 0})) {
@@ -246,7 +246,7 @@
 		sendJson(response, {items: objects.slice(0, this.pageSize), more: objects.length > this.pageSize, at: this.#revision});
 	}
 
-	/** A connection on which an answer was lost stays silent when the store is well again. */
+	/** Whether the request stays unanswered; its connection stays silent after the fault has ended. */
 	#isUnanswered({socket}: IncomingMessage): boolean {
 		if (this.trouble === 'silent') {
 			this.silenceConnection(socket);
@@ -300,7 +300,7 @@
 	}
 }
 
-/** A request as a runner saw it. */
+/** A request as a server received it. */
 export type ReceivedRequest = {
 	method: string;
 	url: string;
@@ -308,13 +308,13 @@
 	body: string;
 };
 
-/** What a runner does with one request. */
+/** How a server handles a request. */
 export type ServerBehaviour = (request: ReceivedRequest, response: ServerResponse, socket: Socket) => void | Promise<void>;
 
-/** A runner that does as it is told and remembers what reached it. */
+/** A model server with a scripted behaviour, which records the requests it receives. */
 export class StandinServer extends LoopbackServer {
 	readonly receivedRequests: ReceivedRequest[] = [];
-	/** Requests whose caller left before the answer ended. */
+	/** Number of requests whose client disconnected before the answer ended. */
 	abandonedCount = 0;
 	behaviour: ServerBehaviour;
 
@@ -339,12 +339,12 @@
 	}
 }
 
-/** Header fields of a true answer. */
+/** Creates the header fields of a genuine answer. */
 export function createAnswerHeaders(request: ReceivedRequest): Record<string, string> {
 	return {'cresshook-attempt-id': request.headers['cresshook-attempt-id'] ?? '', 'cresshook-response-seal': 'seal'};
 }
 
-/** Answers with a whole body. */
+/** Creates a behaviour that answers with a complete body. */
 export function createTextAnswer(text: string, status = 200): ServerBehaviour {
 	return (request, response) => {
 		response.writeHead(status, {...createAnswerHeaders(request), 'content-length': String(text.length)});
@@ -352,7 +352,7 @@
 	};
 }
 
-/** States that the request did not run. */
+/** Declines a request: answers that it did not run. */
 export const decline: ServerBehaviour = (request, response) => {
 	response.writeHead(503, {'cresshook-attempt-id': request.headers['cresshook-attempt-id'] ?? '', 'cresshook-not-executed': '1'});
 	response.end();
@@ -363,7 +363,7 @@
 	return `id: ${id}\ndata: piece ${id}\n\n`;
 }
 
-/** Streams the events after the caller's last one up to `last`, and breaks off inside an event after `breakAfter`. */
+/** Creates a behaviour that streams the events after the caller's last one up to `last`, and disconnects within the event after `breakAfter`. */
 export function streamEvents(last: number, breakAfter = Infinity): ServerBehaviour {
 	return (request, response, socket) => {
 		response.writeHead(200, {...createAnswerHeaders(request), 'content-type': 'text/event-stream'});
--- a/test/process-host.test.ts
+++ b/test/process-host.test.ts
@@ -4,11 +4,10 @@
 import {computeProcessHost} from './helpers/process-host.js';
 import {StandinServer} from './helpers/platform-standins.js';
 
-// A test saw seven requests at its servers where its node had sent three: its servers had taken ports on which
-// servers of a soak beside it had listened, at the same address, and nodes of that fleet sent there still. In a
-// network of 128 free ports with a sender to all of them, the test's servers saw 39 requests: three with its own
-// id, 36 of the sender.
-test('a stand-in is not reached at the address where other processes\' servers listen', async () => {
+// Guards against requests of another process: at a shared address a test's servers get ports on which servers of a soak
+// listened before, and the nodes of that soak still send there. A test then saw seven requests at its servers where its
+// node had sent three; with only 128 free ports and a sender to all of them, 39, of which 36 were foreign.
+test('a test server is not reachable at the address of other processes\' servers', async () => {
 	const runner = await new StandinServer().start();
 	const port = Number(runner.address.split(':')[1]);
 	const code = await new Promise(resolve => {
@@ -28,8 +27,8 @@
 	expect(hosts).toEqual(['127.64.0.1', '127.64.0.255', '127.64.1.0', '127.65.0.0', '127.127.255.255']);
 });
 
-// Two nodes with one heartbeat port never hear of each other.
-test('a port is given once', async () => {
+// Two nodes with the same heartbeat port do not get each other's heartbeats.
+test('no port is given out twice', async () => {
 	const ports: number[] = [];
 	for (let count = 0; count < 300; count++) {
 		ports.push(...await findFreePorts(6));
