--- a/test/follow-source.test.ts
+++ b/test/follow-source.test.ts
@@ -317,14 +317,14 @@
 	const log = createSilentLogger();
 	const state = new FleetState(clock, log);
 	state.applyServerList({items: [createServer('i-1')], revision: 3}, 'node b');
-	let asksSource = false;
+	let isAssigned = false;
 	const follower = new Follower({
 		name: 'servers',
 		timing: longTiming,
 		health: new SourceHealth(),
 		source: new StandinSource(clock),
 		state,
-		isAssigned: () => asksSource,
+		isAssigned: () => isAssigned,
 		onList() {
 			state.applyServerList({items: [], revision: 9}, 'source');
 		},
@@ -333,7 +333,7 @@
 	const stopping = new AbortController();
 	const running = follower.run(stopping.signal);
 	await advanceClock(clock, 6000);
-	asksSource = true;
+	isAssigned = true;
 	await advanceClock(clock, 600);
 	expect([state.serversRevision, state.listServers('app' as ServiceName).length]).toEqual([9, 1]);
 	await advanceClock(clock, reregistrationGrace);
