--- a/src/planning/abandoned-attempts.ts
+++ b/src/planning/abandoned-attempts.ts
@@ -1,39 +1,38 @@
 /**
- * Requests whose attempt ended without an answer, and whose backend server may have crashed under them. Pure.
+ * Attempts that ended without an answer and whose backend server may have crashed while running them. Pure.
  *
- * A crash is reported by the attempts that it breaks off and that find the server gone. An attempt that was stopped before,
- * because its client left or another server answered first, or whose server restarts at once or is behind a proxy, reports
- * nothing: its request is matched with the crash here.
+ * A crash is reported by the attempts that it breaks. An attempt that was stopped earlier (its client left, or another server answered
+ * first), or whose server restarts at once or is behind a proxy, reports nothing: its request is matched with the crash here.
  */
 import type {BackendServerId, RequestFingerprint} from '../common/index.js';
 
-/** How long an attempt is remembered, in milliseconds: above the time in which the entry of a crashed server lapses. */
-const runMemory = 5000;
+/** How long an attempt is kept, in milliseconds: longer than the registry entry of a crashed server takes to expire. */
+const attemptRetention = 5000;
 
-/** Maximum number of attempts that are remembered; the oldest are dropped first. */
-const maxRuns = 4096;
+/** Maximum number of attempts kept; the oldest are dropped first. */
+const maxStored = 4096;
 
-type AbandonedRun = {server: BackendServerId; fingerprint: RequestFingerprint; endedAt: number};
+type AbandonedAttempt = {server: BackendServerId; fingerprint: RequestFingerprint; endedAt: number};
 
 /** Unanswered attempts of one service. */
 export class AbandonedAttempts {
-	#runs: AbandonedRun[] = [];
+	#attempts: AbandonedAttempt[] = [];
 
 	/** Records an attempt that was sent and not answered. */
 	add(server: BackendServerId, fingerprint: RequestFingerprint, now: number): void {
-		this.#runs = this.#runs.filter(run => now - run.endedAt <= runMemory).slice(1 - maxRuns);
-		this.#runs.push({server, fingerprint, endedAt: now});
+		this.#attempts = this.#attempts.filter(attempt => now - attempt.endedAt <= attemptRetention).slice(1 - maxStored);
+		this.#attempts.push({server, fingerprint, endedAt: now});
 	}
 
-	/** Servers of the attempts. */
+	/** Servers with unanswered attempts. */
 	listServers(): BackendServerId[] {
-		return [...new Set(this.#runs.map(run => run.server))];
+		return [...new Set(this.#attempts.map(attempt => attempt.server))];
 	}
 
 	/** Removes and returns the requests of a server's attempts that ended at most `age` milliseconds ago. */
-	take(server: BackendServerId, now: number, age = runMemory): RequestFingerprint[] {
-		const taken = this.#runs.filter(run => run.server === server && now - run.endedAt <= age);
-		this.#runs = this.#runs.filter(run => !taken.includes(run));
-		return [...new Set(taken.map(run => run.fingerprint))];
+	take(server: BackendServerId, now: number, age = attemptRetention): RequestFingerprint[] {
+		const taken = this.#attempts.filter(attempt => attempt.server === server && now - attempt.endedAt <= age);
+		this.#attempts = this.#attempts.filter(attempt => !taken.includes(attempt));
+		return [...new Set(taken.map(attempt => attempt.fingerprint))];
 	}
 }
--- a/src/planning/active-plans.ts
+++ b/src/planning/active-plans.ts
@@ -1,7 +1,7 @@
 /**
- * Plans in progress and what they put on each backend server. Pure.
+ * Plans in progress and the load that they put on each backend server. Pure.
  *
- * The work of a plan is kept also for a server that takes no new work and so has no board: it may take new work again.
+ * Tasks are also kept for a server that accepts no new work and therefore has no load entry: it may accept new work again.
  */
 import type {
 	BackendServerId, BoxId, PlanId, RequestFingerprint,
@@ -13,118 +13,118 @@
 	isTaskDone, ServerLoad, markTaskStarted, type Task,
 } from './server-load.js';
 
-/** Kept after a request's time before its plan is forgotten unasked, in milliseconds. */
-const planMargin = 1000;
+/** How long a plan is kept after its request's deadline before it expires, in milliseconds. */
+const expiryMargin = 1000;
 
-/** Age from which a plan that its node does not know is forgotten, in milliseconds: a younger one may still be on its way to it. */
-const reconcileAge = 500;
+/** Minimum age at which a plan unknown to its node is dropped, in milliseconds: a younger one may still be in transit to the node. */
+const minReconcileAge = 500;
 
-/** A plan, when it was made or taken over, and whether it counts as a short request: what is short may change meanwhile. */
-export type ActivePlan = {plan: Plan; since: number; isShort: boolean; isDecidedHere: boolean; works: ReadonlyMap<BackendServerId, Task>};
+/** A plan and when it was made or adopted. `isShort` is fixed then, because the limit between short and long requests may change later. */
+export type ActivePlan = {plan: Plan; since: number; isShort: boolean; isDecidedHere: boolean; tasks: ReadonlyMap<BackendServerId, Task>};
 
-/** How a plan is held: `engine` is undefined for requests that are no prompts. */
-export type HoldParts = {engine: EngineProfile | undefined; isLong: boolean; isDecidedHere: boolean};
+/** How a plan is added: `engine` is undefined for requests that are not prompts. */
+export type PlanOptions = {engine: EngineProfile | undefined; isLong: boolean; isDecidedHere: boolean};
 
-/** When a plan is forgotten unasked. */
-function findPlanEnd({plan, since}: ActivePlan): number {
-	return since + plan.request.timeLeft + planMargin;
+/** When a plan expires, in milliseconds. */
+function computeExpiry({plan, since}: ActivePlan): number {
+	return since + plan.request.timeLeft + expiryMargin;
 }
 
 /** Plans of one service. */
 export class ActivePlans {
-	/** Boards of the servers that take new work. */
+	/** Loads of the servers that accept new work. */
 	readonly loads = new Map<BackendServerId, ServerLoad>();
 	readonly #plans = new Map<PlanId, ActivePlan>();
-	/** No plan's time is over before this. */
-	#pruneFrom = Infinity;
+	/** Lower bound of all expiry times. */
+	#earliestExpiry = Infinity;
 
 	/** Plans in progress. */
 	get size(): number {
 		return this.#plans.size;
 	}
 
-	/** Whether a plan is held. */
+	/** Whether a plan is in progress. */
 	has(planId: PlanId): boolean {
 		return this.#plans.has(planId);
 	}
 
-	/** Replaces the servers that take new work. */
+	/** Replaces the servers that accept new work. */
 	setServers(servers: BackendServer[]): void {
-		const kept = new Set(servers.map(server => server.id));
+		const ids = new Set(servers.map(server => server.id));
 		for (const id of this.loads.keys()) {
-			if (!kept.has(id)) {
+			if (!ids.has(id)) {
 				this.loads.delete(id);
 			}
 		}
 
 		for (const server of servers) {
-			const board = this.loads.get(server.id);
-			if (board === undefined) {
-				this.#addBoard(server);
+			const load = this.loads.get(server.id);
+			if (load === undefined) {
+				this.#addLoad(server);
 			} else {
-				board.server = server;
+				load.server = server;
 			}
 		}
 	}
 
-	/** Puts the work of a plan on its servers. */
-	add(plan: Plan, {engine, isLong, isDecidedHere}: HoldParts, now: number): ActivePlan {
+	/** Adds a plan and its tasks on each server. */
+	add(plan: Plan, {engine, isLong, isDecidedHere}: PlanOptions, now: number): ActivePlan {
 		const prefillTime = engine === undefined ? 0 : computePrefillTime(engine, plan.request.promptTokens, plan.helpers.length + 1);
 		if (engine !== undefined) {
-			this.#forEachBoard(plan, board => {
-				board.markExceededPauses(engine, prefillTime);
+			this.#forEachLoad(plan, load => {
+				load.markExceededPauses(engine, prefillTime);
 			});
 		}
 
-		const findReadEnd = (server: BackendServerId) => now + plan.startIn + prefillTime + (isLong ? this.loads.get(server)?.computePassTime(engine!, 0) ?? 0 : 0);
-		const works = createWorks(plan, {isLong, prefillTime: prefillTime, findReadEnd});
-		for (const [id, work] of works) {
-			this.loads.get(id)?.add(work);
+		const computePrefillEnd = (server: BackendServerId) => now + plan.startIn + prefillTime + (isLong ? this.loads.get(server)?.computePassTime(engine!, 0) ?? 0 : 0);
+		const tasks = createTasks(plan, {isLong, prefillTime, computePrefillEnd});
+		for (const [id, task] of tasks) {
+			this.loads.get(id)?.add(task);
 		}
 
-		const held = {
-			plan, since: now, isShort: engine !== undefined && !isLong, isDecidedHere, works,
+		const active = {
+			plan, since: now, isShort: engine !== undefined && !isLong, isDecidedHere, tasks,
 		};
-		this.#plans.set(plan.planId, held);
-		this.#pruneFrom = Math.min(this.#pruneFrom, findPlanEnd(held));
-		return held;
+		this.#plans.set(plan.planId, active);
+		this.#earliestExpiry = Math.min(this.#earliestExpiry, computeExpiry(active));
+		return active;
 	}
 
-	/** Notes that the first event of a plan was seen; undefined when it is not held. */
+	/** Records the first event of a plan; undefined for an unknown plan. */
 	recordStart(planId: PlanId, now: number): ActivePlan | undefined {
-		const held = this.#plans.get(planId);
-		for (const [id, work] of held?.works ?? []) {
-			markTaskStarted(work, now);
+		const active = this.#plans.get(planId);
+		for (const [id, task] of active?.tasks ?? []) {
+			markTaskStarted(task, now);
 			this.loads.get(id)?.markStarted(planId, now);
 		}
 
-		return held;
+		return active;
 	}
 
-	/** Takes the work of a plan off its servers; undefined when it is not held. */
+	/** Removes a plan and its tasks; undefined for an unknown plan. */
 	release(planId: PlanId): ActivePlan | undefined {
-		const held = this.#plans.get(planId);
-		if (held !== undefined) {
+		const active = this.#plans.get(planId);
+		if (active !== undefined) {
 			this.#plans.delete(planId);
-			this.#forEachBoard(held.plan, board => {
-				board.remove(planId);
+			this.#forEachLoad(active.plan, load => {
+				load.remove(planId);
 			});
 		}
 
-		return held;
+		return active;
 	}
 
-	/** Plans whose time is over. */
+	/** Plans that have expired. */
 	listExpired(now: number): Plan[] {
-		// Nearly all end long before: they are looked through only when one's time may be over.
-		if (this.#pruneFrom >= now) {
+		// Nearly all plans end long before they expire: they are searched only when one may have expired.
+		if (this.#earliestExpiry >= now) {
 			return [];
 		}
 
 		const plans = [...this.#plans.values()];
-		const ends = plans.map(held => findPlanEnd(held)).filter(end => end >= now);
-		this.#pruneFrom = Math.min(Infinity, ...ends);
-		return plans.filter(held => findPlanEnd(held) < now).map(({plan}) => plan);
+		const expiries = plans.map(active => computeExpiry(active)).filter(expiry => expiry >= now);
+		this.#earliestExpiry = Math.min(Infinity, ...expiries);
+		return plans.filter(active => computeExpiry(active) < now).map(({plan}) => plan);
 	}
 
 	/** Plans of a node. */
@@ -132,50 +132,50 @@
 		return [...this.#plans.values()].filter(({plan}) => plan.request.node === node).map(({plan}) => plan);
 	}
 
-	/** Plans of a node that it does not carry out, and that are not on their way to it. */
+	/** Plans of a node that the node does not run and that cannot be in transit to it any more. */
 	listUnknown(node: BoxId, active: ReadonlySet<PlanId>, now: number): Plan[] {
 		return [...this.#plans.values()]
-			.filter(({plan, since}) => plan.request.node === node && !active.has(plan.planId) && since < now - reconcileAge)
+			.filter(({plan, since}) => plan.request.node === node && !active.has(plan.planId) && since < now - minReconcileAge)
 			.map(({plan}) => plan);
 	}
 
 	/** Servers on which a request runs. */
 	findServers(fingerprint: RequestFingerprint): Set<BackendServerId> {
 		const plans = [...this.#plans.values()].filter(({plan}) => plan.request.fingerprint === fingerprint);
-		return new Set(plans.flatMap(({works}) => [...works.keys()]));
+		return new Set(plans.flatMap(({tasks}) => [...tasks.keys()]));
 	}
 
-	/** A server that takes new work again still runs its earlier plans, which hold memory there. */
-	#addBoard(server: BackendServer): void {
-		const board = new ServerLoad(server);
-		this.loads.set(server.id, board);
-		for (const {works} of this.#plans.values()) {
-			const work = works.get(server.id);
-			if (work !== undefined && !isTaskDone(work)) {
-				board.add(work);
+	/** A server that accepts new work again still runs its earlier plans, which occupy memory there. */
+	#addLoad(server: BackendServer): void {
+		const load = new ServerLoad(server);
+		this.loads.set(server.id, load);
+		for (const {tasks} of this.#plans.values()) {
+			const task = tasks.get(server.id);
+			if (task !== undefined && !isTaskDone(task)) {
+				load.add(task);
 			}
 		}
 	}
 
-	#forEachBoard(plan: Plan, use: (board: ServerLoad) => void): void {
+	#forEachLoad(plan: Plan, use: (load: ServerLoad) => void): void {
 		for (const id of [plan.server, ...plan.helpers.map(helper => helper.server)]) {
-			const board = this.loads.get(id);
-			if (board !== undefined) {
-				use(board);
+			const load = this.loads.get(id);
+			if (load !== undefined) {
+				use(load);
 			}
 		}
 	}
 }
 
-/** The work of a plan on each of its servers. */
-function createWorks(plan: Plan, {isLong, prefillTime: prefillTime, findReadEnd}: {isLong: boolean; prefillTime: number; findReadEnd: (server: BackendServerId) => number}): Map<BackendServerId, Task> {
+/** The tasks of a plan, one for each of its servers. */
+function createTasks(plan: Plan, {isLong, prefillTime, computePrefillEnd}: {isLong: boolean; prefillTime: number; computePrefillEnd: (server: BackendServerId) => number}): Map<BackendServerId, Task> {
 	const {request, server, helpers} = plan;
-	const work = {
+	const task = {
 		planId: plan.planId,
 		isHelper: false,
 		isLong,
 		promptTokens: request.promptTokens,
-		prefillTime: prefillTime,
+		prefillTime,
 		heldTokens: plan.ownTokens,
 		longestPause: request.longestPause,
 		longestSilence: request.longestSilence,
@@ -183,12 +183,12 @@
 		hasStarted: false,
 		hasExceededPause: false,
 	};
-	const works = new Map<BackendServerId, Task>([[server, {...work, prefillEnd: findReadEnd(server)}]]);
+	const tasks = new Map<BackendServerId, Task>([[server, {...task, prefillEnd: computePrefillEnd(server)}]]);
 	for (const helper of helpers) {
-		works.set(helper.server, {
-			...work, prefillEnd: findReadEnd(helper.server), isHelper: true, heldTokens: helper.heldTokens, contextTokens: 0, promptTokens: 0, longestPause: undefined, longestSilence: undefined,
+		tasks.set(helper.server, {
+			...task, prefillEnd: computePrefillEnd(helper.server), isHelper: true, heldTokens: helper.heldTokens, contextTokens: 0, promptTokens: 0, longestPause: undefined, longestSilence: undefined,
 		});
 	}
 
-	return works;
+	return tasks;
 }
--- a/src/planning/caller-waits.ts
+++ b/src/planning/caller-waits.ts
@@ -1,60 +1,58 @@
 /**
- * How long callers have tried already, from how long they still wait. Pure.
+ * Estimates how long a caller has been trying, from the wait time that it declares with each call. Pure.
  *
- * Callers of one route wait alike from their first try on, and say with each try how long
- * they still do: who says less than most of the others has tried before, and what its answer is
- * worth counts from then. The wait that most say is taken, not a long one: what a caller says is
- * not bounded, and a few that say 1e9 ms would make all others come back. Over 120 replayed days with a restart of all nodes it brings
- * 0.748 of the worth for 0.743: those that can still be in time go first.
+ * Callers of one route share a total wait time, and each retry declares what is left of it: a caller that declares less than most others has
+ * tried before, and its objective counts from its first try. The most common wait is the reference, not a high quantile, because declared
+ * waits are unbounded: a few callers that declare 1e9 ms would make all others look like retries.
  */
 
-/** Calls of a route that are remembered, and how many of them are needed before anything is concluded. */
-const mostRemembered = 40;
-const leastRemembered = 4;
+/** Calls remembered for each route, and the minimum needed for an estimate. */
+const maxSamples = 40;
+const minSamples = 4;
 
-/** What a call may lose on its way without having been tried before, in milliseconds. */
-const wayTime = 60;
+/** Tolerance for network transit, in milliseconds: a smaller difference does not indicate an earlier try. */
+const maxTransitTime = 60;
 
-/** Waits of the last calls of each route. */
+/** Declared waits of the latest calls of each route. */
 export class CallerWaits {
 	readonly #waits = new Map<string, number[]>();
 
-	/** Notes what a call said, in milliseconds. */
+	/** Records a call's declared wait, in milliseconds. */
 	add(route: string, wait: number): void {
 		const waits = this.#waits.get(route) ?? [];
 		this.#waits.set(route, waits);
 		waits.push(wait);
-		if (waits.length > mostRemembered) {
+		if (waits.length > maxSamples) {
 			waits.shift();
 		}
 	}
 
-	/** Time for which a caller has tried before this call, in milliseconds; 0 when nothing shows it. */
+	/** How long a caller had been trying before this call, in milliseconds; 0 when there is no evidence of an earlier try. */
 	estimateElapsed(route: string, wait: number): number {
 		const waits = this.#waits.get(route) ?? [];
-		if (waits.length < leastRemembered) {
+		if (waits.length < minSamples) {
 			return 0;
 		}
 
-		const tried = findCommonWait(waits) - wait;
-		return tried > wayTime ? tried : 0;
+		const elapsed = findCommonWait(waits) - wait;
+		return elapsed > maxTransitTime ? elapsed : 0;
 	}
 }
 
-/** The longest of the waits that most callers say, give or take the time on the way. */
+/** The highest wait of the largest group of similar waits; waits are similar if they differ by no more than the transit tolerance. */
 function findCommonWait(waits: number[]): number {
 	const sorted = [...waits].sort((left, right) => left - right);
 	let common = sorted[0];
-	let most = 0;
-	let from = 0;
+	let largest = 0;
+	let first = 0;
 	for (const [index, wait] of sorted.entries()) {
-		while (wait - sorted[from] > wayTime) {
-			from++;
+		while (wait - sorted[first] > maxTransitTime) {
+			first++;
 		}
 
-		const alike = index - from + 1;
-		if (alike >= most) {
-			most = alike;
+		const similar = index - first + 1;
+		if (similar >= largest) {
+			largest = similar;
 			common = wait;
 		}
 	}
--- a/src/planning/engine-model.ts
+++ b/src/planning/engine-model.ts
@@ -1,22 +1,22 @@
 /**
- * How long a model server takes, from the figures its operators state. Pure.
+ * Predicts how long a model server takes, from the figures its operators declare. Pure.
  *
- * A server works in passes over everything that waits: `stepsPerPass` steps of writing,
- * stretched by whatever is read in them. All times in milliseconds.
+ * A server works in passes over all its requests: a pass has `stepsPerPass` decode steps and is extended by the prefill done in it.
+ * Times are in milliseconds.
  */
 import type {EngineProfile} from '../routing/index.js';
 
 const tokensPerThousand = 1000;
 const pairsPerMillion = 1_000_000;
 
-/** Time one server needs to read its even part of a prompt that `parts` servers read together. */
-export function computePrefillTime(engine: EngineProfile, promptTokens: number, parts = 1): number {
+/** Time one server needs to prefill its share of a prompt that is split evenly over `serverCount` servers. */
+export function computePrefillTime(engine: EngineProfile, promptTokens: number, serverCount = 1): number {
 	const pairs = (promptTokens * promptTokens) / 2;
-	const alone = (promptTokens / engine.readRate) + ((pairs / pairsPerMillion) * engine.timePerMillionPairs);
-	return alone / parts;
+	const total = (promptTokens / engine.readRate) + ((pairs / pairsPerMillion) * engine.timePerMillionPairs);
+	return total / serverCount;
 }
 
-/** Time of one pass with writers and nothing to read. */
+/** Time of one pass that decodes `writers` requests and prefills nothing. */
 export function computePassTime(engine: EngineProfile, writers: number, contextTokens: number): number {
 	const step = engine.stepTime
 		+ (writers * engine.stepTimePerWriter)
--- a/src/planning/find-min.ts
+++ b/src/planning/find-min.ts
@@ -1,12 +1,12 @@
-/** The item with the least cost, the first of equals; undefined for an empty list. */
-export function findMin<Item>(items: Item[], costOf: (item: Item) => number): Item | undefined {
+/** The item with the lowest cost, the first of equals; undefined for an empty list. */
+export function findMin<Item>(items: Item[], computeCost: (item: Item) => number): Item | undefined {
 	let best: Item | undefined;
-	let least = Infinity;
+	let min = Infinity;
 	for (const item of items) {
-		const cost = costOf(item);
-		if (best === undefined || cost < least) {
+		const cost = computeCost(item);
+		if (best === undefined || cost < min) {
 			best = item;
-			least = cost;
+			min = cost;
 		}
 	}
 
--- a/src/planning/fleet-retry-budget.ts
+++ b/src/planning/fleet-retry-budget.ts
@@ -1,14 +1,12 @@
 /**
- * The fleet's budget of retries, counted where all requests of a service pass: at the node that decides. Pure.
+ * The retry budget of a service for the whole fleet, counted at the deciding node, which sees all requests. Pure.
  *
- * Load pattern: servers die together and the calls they held are spread over hundreds of
- * nodes. Cut into one part a node, a budget of 460 retries leaves each of 195 nodes two in ten
- * seconds, and calls end unserved beside a budget that is mostly unused.
+ * Load pattern: servers fail together, and their calls are spread over hundreds of nodes. Divided by node, a budget of 460 retries leaves each
+ * of 195 nodes two in ten seconds, and calls fail although most of the budget is unused.
  *
- * Second load pattern: nodes start again, one after the other or all together, and half of the
- * fleet is cut off, while most calls fail. What was spent is remembered by the nodes that spent
- * it, and told to whoever decides next; of the budget, a node brings its part only in so far as
- * its memory reaches back over the window. A process that has just started brings nothing.
+ * Second load pattern: nodes restart one by one or all together, or half of the fleet is partitioned, while most calls fail. Nodes remember the
+ * retries that they took and report them to a new deciding node. A node contributes its part of the budget only as far as its history covers
+ * the window, so a process that has just started contributes only its startup credit.
  *
  * Times are monotonic milliseconds.
  */
@@ -18,158 +16,156 @@
 import {RetryHistories, type RetryHistory, type ReportingNode} from './retry-histories.js';
 
 /**
- * Shares of the budget: what nodes take alone adds to what the decider grants. The rest is for
- * what no memory covers: retries of nodes that have started again since, and requests counted
- * twice while nodes change from one decider to another. Six nodes whose every request is sent
- * five times if it may, through 1,200 drawn series of up to four restarts and cuts, stay within
- * a budget of 148 by 3 at least with these, and pass it by 5 with 0.42 and a head start of 2 s.
+ * Shares of the budget: what the deciding node grants, and what nodes take when it does not answer. The remainder covers what no history
+ * records: retries of nodes that have restarted since, and requests counted twice while the deciding node changes. In 1,200 simulated
+ * series of up to four restarts and partitions, six nodes that retry every request up to four times stay within a budget of 148 by 3 at least.
  */
 const deciderShare: GrantShare = {ratio: 0.6, slack: 0.35};
-const aloneShare: GrantShare = {ratio: 0.3, slack: 0.08};
+const fallbackShare: GrantShare = {ratio: 0.3, slack: 0.08};
 
-/** Time without a request after which a node counts as new in deciding, in milliseconds: a few heartbeats, in which another one may have decided. */
-const longestGap = 2000;
+/** Time without a request after which a node counts as newly deciding, in milliseconds: a few heartbeats, during which another node may have decided. */
+const maxDecidingGap = 2000;
 
-/** Time in which every node that has something to tell has told a new decider, in milliseconds: its heartbeats, and one look a second at who decides. */
-const tellTime = 3000;
+/** Time within which every node has reported its history to a new deciding node, in milliseconds: its heartbeats, plus one check a second of which node decides. */
+const historyReportTime = 3000;
 
-/** Part of the window that a process brings at once when it starts, in milliseconds: it was away for a while and spent nothing, and callers whose calls were cut come back together then. */
-const headStart = 3000;
+/** Part of the window that a process contributes at its start, in milliseconds: it spent nothing while it was down, and callers whose calls were cut retry together then. */
+const startupCredit = 3000;
 
-/** A live node, the deciding one among them, and for how long it has been heard of in its present life. */
+/** A live node, possibly the deciding one; `life` identifies its process, `observedFor` is how long that process has been observed, in milliseconds. */
 export type LiveNode = {life: string; observedFor: number};
 
-/** How much of the fleet is heard: the others may have a decider of their own. */
+/** How much of the fleet a node reaches: the others may have a deciding node of their own. */
 export type FleetMembership = {
 	live: LiveNode[];
-	/** Nodes that were heard of lately, live or not, this one among them. */
+	/** Number of nodes seen recently, live or not, including this one. */
 	known: number;
 	/** Milliseconds since this node's process started. */
 	age: number;
 };
 
-/** A request or a retry of this node, and the life of the node that decided it. */
-type Remembered = {at: number; decider: string; worth: number};
+/** A request or retry of this node, and the process that decided it. */
+type RecordedCall = {at: number; decider: string; value: number};
 
-/** Retries of one service. */
+/** Retry budget of one service. */
 export class FleetRetryBudget {
 	readonly #limits: RetryLimits;
-	readonly #fleet: RetryWindow;
-	readonly #own: RetryWindow;
-	readonly #told: RetryHistories;
-	#requests: Remembered[] = [];
-	#retries: Remembered[] = [];
-	#decidesSince = -Infinity;
-	#decidedAt = -Infinity;
+	readonly #fleetWindow: RetryWindow;
+	readonly #ownWindow: RetryWindow;
+	readonly #histories: RetryHistories;
+	#requests: RecordedCall[] = [];
+	#retries: RecordedCall[] = [];
+	#decidingSince = -Infinity;
+	#lastDecidedAt = -Infinity;
 
 	constructor(limits: RetryLimits) {
 		this.#limits = limits;
-		this.#fleet = new RetryWindow(limits);
-		this.#own = new RetryWindow(limits);
-		this.#told = new RetryHistories(limits.window);
+		this.#fleetWindow = new RetryWindow(limits);
+		this.#ownWindow = new RetryWindow(limits);
+		this.#histories = new RetryHistories(limits.window);
 	}
 
-	/** Changes how much is allowed. */
-	setAllowance(allowed: RetryAllowance): void {
-		this.#fleet.setAllowance(allowed);
-		this.#own.setAllowance(allowed);
+	/** Changes the budget. */
+	setAllowance(allowance: RetryAllowance): void {
+		this.#fleetWindow.setAllowance(allowance);
+		this.#ownWindow.setAllowance(allowance);
 	}
 
-	/** Notes a request of any node that this one decides; worth in tokens. */
-	recordDecided(now: number, worth: number): void {
-		if (now - this.#decidedAt > longestGap) {
-			this.#beginDeciding(now);
+	/** Records a request of any node that this node decides; value in tokens. */
+	recordDecided(now: number, value: number): void {
+		if (now - this.#lastDecidedAt > maxDecidingGap) {
+			this.#startDeciding(now);
 		}
 
-		this.#decidedAt = now;
-		this.#fleet.addRequest(now, worth);
+		this.#lastDecidedAt = now;
+		this.#fleetWindow.addRequest(now, value);
 	}
 
-	/** Notes a request of this node itself and the life of the node that decides it; worth in tokens. */
-	recordOwn(now: number, worth: number, decider: string): void {
-		this.#own.addRequest(now, worth);
-		this.#requests.push({at: now, decider, worth});
-		this.#forget(now);
+	/** Records a request of this node and the process that decides it; value in tokens. */
+	recordOwn(now: number, value: number, decider: string): void {
+		this.#ownWindow.addRequest(now, value);
+		this.#requests.push({at: now, decider, value});
+		this.#prune(now);
 	}
 
-	/** Notes a retry of this node that a node granted out of the fleet's budget, by that one's life. */
+	/** Records a retry of this node that a deciding node granted. */
 	recordGranted(now: number, decider: string): void {
-		this.#retries.push({at: now, decider, worth: 0});
-		this.#forget(now);
+		this.#retries.push({at: now, decider, value: 0});
+		this.#prune(now);
 	}
 
-	/** What this node is to tell a node that decides for it from now on. */
+	/** The history that this node reports to a new deciding node, without what that node has decided itself. */
 	describeHistory(now: number, {life, age, known}: ReportingNode, decider: string): RetryHistory {
-		this.#forget(now);
+		this.#prune(now);
 		const requests = this.#requests.filter(request => request.decider !== decider);
-		const worth = requests.reduce((sum, request) => sum + request.worth, 0);
-		const countBack = ({at}: Remembered) => Math.round(now - at);
+		const value = requests.reduce((sum, request) => sum + request.value, 0);
+		const computeAge = ({at}: RecordedCall) => Math.round(now - at);
 		return {
 			life,
 			age: Math.round(age),
 			known,
-			requests: requests.map(request => countBack(request)),
-			retries: this.#retries.filter(retry => retry.decider !== decider).map(retry => countBack(retry)),
-			meanWorth: requests.length === 0 ? 0 : worth / requests.length,
+			requests: requests.map(request => computeAge(request)),
+			retries: this.#retries.filter(retry => retry.decider !== decider).map(retry => computeAge(retry)),
+			meanWorth: requests.length === 0 ? 0 : value / requests.length,
 		};
 	}
 
-	/** Takes what a node remembers that asks this one from now on. */
+	/** Adds the history that a node reports to this deciding node. */
 	addHistory(history: RetryHistory, now: number): void {
-		this.#told.add(history, now);
+		this.#histories.add(history, now);
 	}
 
-	/** Grants a retry out of the fleet's budget, as its decider. */
-	grant(now: number, worth: number, reach: FleetMembership): boolean {
-		return this.#fleet.takeRetry(now, this.#findShare(now, reach), worth, this.#told.count(now));
+	/** Grants a retry from the fleet's budget, as the deciding node. */
+	grant(now: number, value: number, membership: FleetMembership): boolean {
+		return this.#fleetWindow.takeRetry(now, this.#computeGrantShare(now, membership), value, this.#histories.count(now));
 	}
 
-	/** Retries that the decider has left to grant. */
-	countRemaining(now: number, reach: FleetMembership): number {
-		return this.#fleet.countRemaining(now, this.#findShare(now, reach), this.#told.count(now));
+	/** Retries that the deciding node may still grant. */
+	countRemaining(now: number, membership: FleetMembership): number {
+		return this.#fleetWindow.countRemaining(now, this.#computeGrantShare(now, membership), this.#histories.count(now));
 	}
 
-	/** Takes a retry out of this node's own small part, when no decider answers. */
-	takeFallback(now: number, worth: number, {known, age}: FleetMembership): boolean {
-		const {ratio, slack} = aloneShare;
-		return this.#own.takeRetry(now, {ratio, slack: slack * this.#measureReach(age) / Math.max(1, known)}, worth);
+	/** Takes a retry from this node's own small share when no deciding node answers. */
+	takeFallback(now: number, value: number, {known, age}: FleetMembership): boolean {
+		const {ratio, slack} = fallbackShare;
+		return this.#ownWindow.takeRetry(now, {ratio, slack: slack * this.#computeWindowCoverage(age) / Math.max(1, known)}, value);
 	}
 
-	/** What the next grant goes by. */
-	describeBudget(now: number, reach: FleetMembership): {requests: number; retries: number; memory: number} {
-		const [own, told] = [this.#fleet.count(now), this.#told.count(now)];
-		return {requests: own.requests + told.requests, retries: own.retries + told.retries, memory: this.#measureMemory(now, reach)};
+	/** The counts that the next grant is based on; `memory` is the share of the fleet whose history is known. */
+	describeBudget(now: number, membership: FleetMembership): {requests: number; retries: number; memory: number} {
+		const [own, reported] = [this.#fleetWindow.count(now), this.#histories.count(now)];
+		return {requests: own.requests + reported.requests, retries: own.retries + reported.retries, memory: this.#computeCoverage(now, membership)};
 	}
 
-	/** What the decider may grant out of the bounds. */
-	#findShare(now: number, reach: FleetMembership): GrantShare {
+	/** Shares of the budget that the deciding node may grant. */
+	#computeGrantShare(now: number, membership: FleetMembership): GrantShare {
 		const {ratio, slack} = deciderShare;
-		return {ratio, slack: slack * this.#measureMemory(now, reach)};
+		return {ratio, slack: slack * this.#computeCoverage(now, membership)};
 	}
 
-	#beginDeciding(now: number): void {
-		this.#decidesSince = now;
-		this.#told.dropBefore(now - longestGap);
+	#startDeciding(now: number): void {
+		this.#decidingSince = now;
+		this.#histories.dropBefore(now - maxDecidingGap);
 	}
 
-	/** Part of the fleet, from 0 to 1, whose retries of the whole window are counted here. */
-	#measureMemory(now: number, {live, known}: FleetMembership): number {
-		const hasHeardAll = now - this.#decidesSince >= tellTime;
-		const parts = live.map(({life, observedFor: heardFor}) => {
-			const age = this.#told.computeHistoryAge(life, now) ?? (hasHeardAll ? heardFor : undefined);
-			return age === undefined ? 0 : this.#measureReach(age);
+	/** Share of the fleet, from 0 to 1, whose retries over the whole window are known here. */
+	#computeCoverage(now: number, {live, known}: FleetMembership): number {
+		const isReportTimeOver = now - this.#decidingSince >= historyReportTime;
+		const coverages = live.map(({life, observedFor}) => {
+			const age = this.#histories.computeHistoryAge(life, now) ?? (isReportTimeOver ? observedFor : undefined);
+			return age === undefined ? 0 : this.#computeWindowCoverage(age);
 		});
-		return parts.reduce((sum, part) => sum + part, 0) / Math.max(1, known, this.#told.findMaxKnown());
+		return coverages.reduce((sum, coverage) => sum + coverage, 0) / Math.max(1, known, this.#histories.findMaxKnown());
 	}
 
-	/** Part of the window, from 0 to 1, over which a node's memory reaches back. */
-	#measureReach(age: number): number {
-		return Math.min(1, (age + headStart) / this.#limits.window);
+	/** Share of the window, from 0 to 1, that a node's history covers. */
+	#computeWindowCoverage(age: number): number {
+		return Math.min(1, (age + startupCredit) / this.#limits.window);
 	}
 
-	#forget(now: number): void {
+	#prune(now: number): void {
 		const oldest = now - this.#limits.window;
-		const isRecent = ({at}: Remembered) => at >= oldest;
+		const isRecent = ({at}: RecordedCall) => at >= oldest;
 		if (this.#requests.length > 0 && !isRecent(this.#requests[0])) {
 			this.#requests = this.#requests.filter(request => isRecent(request));
 		}
--- a/src/planning/isolation-trials.ts
+++ b/src/planning/isolation-trials.ts
@@ -1,53 +1,53 @@
-/** Servers that are kept free for requests that may end them, one request at a server. Pure. */
+/** Servers reserved for requests that may crash them, one request on each server. Pure. */
 import type {BackendServerId, RequestFingerprint, PlanId} from '../common/index.js';
 import {findMin} from './find-min.js';
 import type {ServerLoad} from './server-load.js';
 
-/** One in so many servers is kept free at most, and never the only one. */
-const serversForTrial = 6;
-const leastServers = 2;
+/** At most one in `serversPerTrial` servers is reserved, and none where there are fewer than `minServers`. */
+const serversPerTrial = 6;
+const minServers = 2;
 
-/** Time after the last ask for which a server is kept free for a request, in milliseconds: a few asks. */
-const keptFor = 300;
+/** Time without another ask after which a request's reservation ends, in milliseconds: a few retry delays. */
+const reservationTimeout = 300;
 
 /** Time after which a request that waits for its server asks again, in milliseconds. */
 export const trialRetryDelay = 40;
 
-/** A server that is kept free for a request, or runs it. */
-type Trial = {fingerprint: RequestFingerprint; askedAt: number; planId?: PlanId};
+/** A server that is reserved for a request or runs it. */
+type IsolationTrial = {fingerprint: RequestFingerprint; lastAskedAt: number; planId?: PlanId};
 
-/** Trials of one service. */
+/** Isolation trials of one service. */
 export class IsolationTrials {
-	readonly #trials = new Map<BackendServerId, Trial>();
+	readonly #trials = new Map<BackendServerId, IsolationTrial>();
 
-	/** Whether a server is kept for a trial: nothing else goes there. */
+	/** Whether a server is reserved: it takes no other requests. */
 	isReserved(server: BackendServerId): boolean {
 		return this.#trials.has(server);
 	}
 
-	/** The server that a request may have for itself; undefined while there is none. `all` counts the servers of the service. */
-	findServer(fingerprint: RequestFingerprint, usable: ServerLoad[], all: number, now: number): ServerLoad | undefined {
+	/** The reserved server, once it is idle; undefined until then. `serverCount` counts all servers of the service. */
+	findServer(fingerprint: RequestFingerprint, usable: ServerLoad[], serverCount: number, now: number): ServerLoad | undefined {
 		this.#prune(now);
-		const kept = this.#findKept(fingerprint);
-		if (kept !== undefined) {
-			const [server, trial] = kept;
-			trial.askedAt = now;
-			const board = usable.find(candidate => candidate.server.id === server);
-			// One try of a request at a time, and none beside others.
-			return trial.planId === undefined && board?.taskCount === 0 ? board : undefined;
+		const reserved = this.#findReserved(fingerprint);
+		if (reserved !== undefined) {
+			const [server, trial] = reserved;
+			trial.lastAskedAt = now;
+			const load = usable.find(candidate => candidate.server.id === server);
+			// One attempt of a request at a time, on an otherwise idle server.
+			return trial.planId === undefined && load?.taskCount === 0 ? load : undefined;
 		}
 
-		const free = usable.filter(board => !this.#trials.has(board.server.id));
-		if (all < leastServers || free.length === 0 || this.#trials.size >= Math.max(1, Math.floor(all / serversForTrial))) {
+		const free = usable.filter(load => !this.#trials.has(load.server.id));
+		if (serverCount < minServers || free.length === 0 || this.#trials.size >= Math.max(1, Math.floor(serverCount / serversPerTrial))) {
 			return undefined;
 		}
 
-		const board = findMin(free, candidate => candidate.taskCount)!;
-		this.#trials.set(board.server.id, {fingerprint, askedAt: now});
-		return board.taskCount === 0 ? board : undefined;
+		const load = findMin(free, candidate => candidate.taskCount)!;
+		this.#trials.set(load.server.id, {fingerprint, lastAskedAt: now});
+		return load.taskCount === 0 ? load : undefined;
 	}
 
-	/** Notes the plan that runs at the server kept for it. */
+	/** Records the plan that runs on its reserved server. */
 	recordStart(server: BackendServerId, planId: PlanId): void {
 		const trial = this.#trials.get(server);
 		if (trial !== undefined) {
@@ -55,7 +55,7 @@
 		}
 	}
 
-	/** Frees the server of a plan that has ended. */
+	/** Releases the server of a plan that has ended. */
 	release(planId: PlanId): void {
 		for (const [server, trial] of this.#trials) {
 			if (trial.planId === planId) {
@@ -64,14 +64,14 @@
 		}
 	}
 
-	#findKept(fingerprint: RequestFingerprint): [BackendServerId, Trial] | undefined {
+	#findReserved(fingerprint: RequestFingerprint): [BackendServerId, IsolationTrial] | undefined {
 		return [...this.#trials].find(([, trial]) => trial.fingerprint === fingerprint);
 	}
 
-	/** A request that is not asked for any more needs no server. */
+	/** Drops the reservations of requests that no longer ask. */
 	#prune(now: number): void {
-		for (const [server, {askedAt, planId}] of this.#trials) {
-			if (planId === undefined && now - askedAt > keptFor) {
+		for (const [server, {lastAskedAt, planId}] of this.#trials) {
+			if (planId === undefined && now - lastAskedAt > reservationTimeout) {
 				this.#trials.delete(server);
 			}
 		}
--- a/src/planning/limit-queue.ts
+++ b/src/planning/limit-queue.ts
@@ -1,54 +1,54 @@
 /**
- * Requests that wait because all servers that could take them have reached their limits. Pure.
+ * Queue of requests for which all servers have reached their limits. Pure.
  *
  * Times are monotonic milliseconds.
  */
 import type {RequestId} from '../common/index.js';
 
-/** Time without an ask after which a request has left the line. */
-const missedAfter = 600;
+/** Time after which a request that does not ask again leaves the queue. */
+const entryTimeout = 600;
 
-/** Latest time for which a rejected request is asked to return. */
-const longestReturn = 30_000;
+/** Maximum retry delay of a rejected request. */
+const maxRetryDelay = 30_000;
 
-/** Requests in the order in which they joined. */
+/** Requests in order of arrival. */
 export class LimitQueue {
 	/** When each request last asked. */
 	readonly #waiting = new Map<RequestId, number>();
-	#returnsUntil = -Infinity;
+	#lastRetryAt = -Infinity;
 
-	/** How many other requests joined before this one. */
+	/** Number of requests that arrived before this one. */
 	countAhead(requestId: RequestId, now: number): number {
-		let ahead = 0;
-		for (const [other, askedAt] of this.#waiting) {
+		let aheadCount = 0;
+		for (const [other, lastAskedAt] of this.#waiting) {
 			if (other === requestId) {
 				break;
 			}
 
-			if (now - askedAt > missedAfter) {
+			if (now - lastAskedAt > entryTimeout) {
 				this.#waiting.delete(other);
 			} else {
-				ahead++;
+				aheadCount++;
 			}
 		}
 
-		return ahead;
+		return aheadCount;
 	}
 
-	/** Adds a request at the end, or notes that it still waits. */
+	/** Appends a request, or refreshes one that is queued. */
 	join(requestId: RequestId, now: number): void {
 		this.#waiting.set(requestId, now);
 	}
 
-	/** Removes a request that has its place or is rejected. */
+	/** Removes a request that was sent or rejected. */
 	leave(requestId: RequestId): void {
 		this.#waiting.delete(requestId);
 	}
 
-	/** Time after which a rejected request should return: `delay` for the first one, spread by `interval` for those after it. */
+	/** Retry delay of a rejected request: `delay` for the first one, increased by `interval` for each later one to spread them. */
 	scheduleRetry(delay: number, interval: number, now: number): number {
-		const latest = now + longestReturn;
-		this.#returnsUntil = Math.min(latest, Math.max(now + delay, this.#returnsUntil + interval));
-		return this.#returnsUntil - now;
+		const latest = now + maxRetryDelay;
+		this.#lastRetryAt = Math.min(latest, Math.max(now + delay, this.#lastRetryAt + interval));
+		return this.#lastRetryAt - now;
 	}
 }
--- a/src/planning/overrun-estimator.ts
+++ b/src/planning/overrun-estimator.ts
@@ -1,51 +1,51 @@
 /**
- * How much longer long reads take than predicted, learned from those that were seen. Pure.
+ * Estimates how much longer than predicted long prefills take, from those observed. Pure.
  *
- * A prediction knows neither what else joins a pass nor how far a server is from its figures: on played days reads of
+ * A prediction does not know which other requests join a pass or how far a server deviates from its declared figures: in replays, prefills of
  * more than two seconds took 10 in 100 longer at the median and 26 in 100 at the ninetieth percentile.
  */
 
-/** Share that is assumed before enough reads were seen, and how many that is. */
-const assumedOverrun = 0.15;
-const leastSeen = 8;
+/** Overrun assumed until enough prefills were observed, and the number needed. */
+const defaultOverrun = 0.15;
+const minSamples = 8;
 
-/** Reads that are remembered. */
-const mostSeen = 40;
+/** Maximum number of prefills remembered. */
+const maxSamples = 40;
 
-/** Quantile of the overruns that is planned with: one read in ten may be longer. */
+/** Quantile of the overruns that is planned for: one prefill in ten may be longer. */
 const plannedQuantile = 0.9;
 
-/** Bounds of what is planned with, as shares: servers that stand still for a while must not end all long reads. */
-const leastOverrun = 0.05;
-const mostOverrun = 0.4;
+/** Bounds of the estimate: a temporary stall of the servers must not prevent all long prefills. */
+const minOverrun = 0.05;
+const maxOverrun = 0.4;
 
-/** Shortest predicted read that says anything, in milliseconds: what is shorter is mostly the passes before and after it. */
-const shortestRead = 400;
+/** Minimum predicted time of a prefill that is counted, in milliseconds: a shorter one is dominated by the passes before and after it. */
+const minPrediction = 400;
 
-/** Overruns of the last long reads. */
+/** Overruns of the latest long prefills, as shares of the prediction. */
 export class OverrunEstimator {
-	readonly #seen: number[] = [];
+	readonly #samples: number[] = [];
 
-	/** Notes how long a read took to its first event; both times in milliseconds. */
+	/** Records the predicted and the actual time to the first event, in milliseconds. */
 	add(predicted: number, took: number): void {
-		if (predicted < shortestRead) {
+		if (predicted < minPrediction) {
 			return;
 		}
 
-		this.#seen.push((took / predicted) - 1);
-		if (this.#seen.length > mostSeen) {
-			this.#seen.shift();
+		this.#samples.push((took / predicted) - 1);
+		if (this.#samples.length > maxSamples) {
+			this.#samples.shift();
 		}
 	}
 
-	/** Share by which a read may be longer than predicted. */
+	/** Share by which a prefill may be longer than predicted. */
 	get share(): number {
-		if (this.#seen.length < leastSeen) {
-			return assumedOverrun;
+		if (this.#samples.length < minSamples) {
+			return defaultOverrun;
 		}
 
-		const sorted = [...this.#seen].sort((left, right) => left - right);
+		const sorted = [...this.#samples].sort((left, right) => left - right);
 		const quantile = sorted[Math.floor(plannedQuantile * (sorted.length - 1))];
-		return Math.min(mostOverrun, Math.max(leastOverrun, quantile));
+		return Math.min(maxOverrun, Math.max(minOverrun, quantile));
 	}
 }
--- a/src/planning/planner.ts
+++ b/src/planning/planner.ts
@@ -1,13 +1,12 @@
 /**
- * Decides where the requests of one service run, and when long prompts are read.
+ * Decides where the requests of one service run, and when long prompts are prefilled.
  *
- * Two kinds of request share a pool. Short ones are packed on the servers at the end of a
- * fixed order, as densely as a pass bears. Long ones are read by many servers together from
- * the other end, one long read after the other on each server: a read in pieces beside
- * others would stretch the pauses of everyone who writes there.
+ * Short and long requests share a pool. Short ones are packed on the servers at the end of a fixed order, as densely as pass times allow.
+ * Long ones are prefilled by several servers together from the start of the order, one long prefill at a time on each server: chunked prefill
+ * beside other requests would extend the pauses of every request that decodes there.
  *
- * Pure: time is passed in, nothing waits. A plan says when it is to be sent, and the node
- * that asked sends it then. A planner that takes over is filled by `adopt`.
+ * Pure: time is passed in, and nothing blocks. A plan says when it is to be sent, and the requesting node sends it then. A planner that takes
+ * over is initialised by `adopt`.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {
@@ -34,59 +33,59 @@
 import {CrashRecords, isolatedCrashWeight, type QuarantineState} from './crash-records.js';
 import {trialRetryDelay, IsolationTrials} from './isolation-trials.js';
 
-/** A prompt whose read takes more than this share of the shortest pause is long. */
-const longReadShare = 0.75;
+/** A prompt whose prefill takes more than this share of the shortest accepted pause is long. */
+const longPrefillShare = 0.75;
 
-/** Pause assumed for requests that state none, in milliseconds. */
-const defaultPause = 250;
+/** Pause assumed for requests that declare none, in milliseconds. */
+const defaultMaxPause = 250;
 
-/** Letters of a plan's id: enough that no two of the thousands in progress are alike, and short, since they are listed once a second. */
+/** Characters of a plan id: enough to be unique among thousands of plans, and short, because ids are listed once a second. */
 const planIdLength = 12;
 
-/** What a planner needs. */
+/** Dependencies of a planner. */
 export type PlannerParts = {
 	ids: IdSource;
-	/** Figures of the service's servers; undefined for plain services. */
+	/** Performance figures of the service's servers; undefined for plain services. */
 	engine?: EngineProfile;
 };
 
-/** What a planner has put on a server, and how far it trusts it. */
+/** Planned load and health of one server. */
 export type PlannedServerStatus = {
 	server: BackendServerId;
 	availabilityZone: AvailabilityZone;
-	/** Requests, those among them that write or are about to, and how many it takes at once. */
+	/** Requests, those among them that decode or are about to, and its capacity. */
 	work: number;
 	writers: number;
 	slots: number;
 	/** Memory in use, in tokens. */
 	heldTokens: number;
-	/** Reading still to be done, in milliseconds. */
+	/** Prefill still to be done, in milliseconds. */
 	readFor: number;
-	/** How long it is left alone, in milliseconds; 0 when it is not. */
+	/** Remaining backoff, in milliseconds; 0 without backoff. */
 	restsFor: number;
-	/** Requests a second that it takes from all nodes; undefined when it names no limit. */
+	/** Requests per second that it accepts from all nodes; undefined without a declared limit. */
 	requestLimit?: number;
-	/** Smoothed share of answers that were spoiled, and whether others come first for it. */
+	/** Smoothed share of failed answers, and whether other servers are preferred because of it. */
 	spoiled: number;
 	isDoubtful: boolean;
 };
 
-function describeRejection({crashes, rejectedFor}: Extract<QuarantineState, {kind: 'rejected'}>): Failure {
-	return createFailure('ends_servers', `${crashes} backend servers have ended while they ran this request; it is not sent to another one`, {retryAfterSeconds: Math.ceil(rejectedFor / 1000)});
+function createRejection({crashes, rejectedFor}: Extract<QuarantineState, {kind: 'rejected'}>): Failure {
+	return createFailure('ends_servers', `${crashes} backend servers crashed while they ran this request; it is not sent to another one`, {retryAfterSeconds: Math.ceil(rejectedFor / 1000)});
 }
 
 /** Plans for one service. */
 export class Planner {
-	/** Requests that have crashed servers. */
+	/** Requests that were running on servers when they crashed. */
 	readonly crashRecords = new CrashRecords();
 	readonly #ids: IdSource;
-	readonly #held = new ActivePlans();
-	readonly #reads = new PrefillScheduler();
+	readonly #plans = new ActivePlans();
+	readonly #scheduler = new PrefillScheduler();
 	readonly #callerWaits = new CallerWaits();
 	#engine: EngineProfile | undefined;
-	#shortestPause = defaultPause;
-	readonly #shares = new ServerPartition();
-	readonly #sight = new LimitedVisibility();
+	#shortestPause = defaultMaxPause;
+	readonly #partition = new ServerPartition();
+	readonly #visibility = new LimitedVisibility();
 	readonly #trials = new IsolationTrials();
 	readonly #abandoned = new AbandonedAttempts();
 	readonly #gate = new LimitGate();
@@ -96,72 +95,72 @@
 		this.#engine = parts.engine;
 	}
 
-	/** Limits that servers have named. */
+	/** Request limits that servers have declared. */
 	get limits(): ServerLimits {
 		return this.#gate.limits;
 	}
 
 	/** Plans in progress. */
 	get planCount(): number {
-		return this.#held.size;
+		return this.#plans.size;
 	}
 
-	/** Short requests that have a place. */
+	/** Short requests in progress. */
 	get shortCount(): number {
-		return this.#shares.shortCount;
+		return this.#partition.shortCount;
 	}
 
-	/** Prompts that wait to be read. */
+	/** Prompts that wait for prefill. */
 	get waitingCount(): number {
-		return this.#reads.waitingCount;
+		return this.#scheduler.waitingCount;
 	}
 
-	/** What is planned on each server, and how far it is trusted: the busiest first, so many at most. */
-	describeServers(now: number, most: number): PlannedServerStatus[] {
-		return [...this.#held.loads.values()]
+	/** Status of the busiest servers, at most `limit` of them. */
+	describeServers(now: number, limit: number): PlannedServerStatus[] {
+		return [...this.#plans.loads.values()]
 			.sort((left, right) => right.taskCount - left.taskCount)
-			.slice(0, most)
-			.map(board => ({
-				server: board.server.id,
-				availabilityZone: board.server.availabilityZone,
-				work: board.taskCount,
-				writers: board.writers,
-				slots: board.server.slots,
-				heldTokens: Math.round(board.heldTokens),
-				readFor: Math.round(board.computePendingPrefill(now)),
-				restsFor: Math.round(board.health.computeBackoffLeft(now)),
-				requestLimit: this.limits.findRate(board.server.id),
-				spoiled: Math.round(board.health.computeFailureShare(now) * 100) / 100,
-				isDoubtful: board.health.isUnreliable(now),
+			.slice(0, limit)
+			.map(load => ({
+				server: load.server.id,
+				availabilityZone: load.server.availabilityZone,
+				work: load.taskCount,
+				writers: load.writers,
+				slots: load.server.slots,
+				heldTokens: Math.round(load.heldTokens),
+				readFor: Math.round(load.computePendingPrefill(now)),
+				restsFor: Math.round(load.health.computeBackoffLeft(now)),
+				requestLimit: this.limits.findRate(load.server.id),
+				spoiled: Math.round(load.health.computeFailureShare(now) * 100) / 100,
+				isDoubtful: load.health.isUnreliable(now),
 			}));
 	}
 
-	/** Replaces the figures and the servers that take new work. */
+	/** Replaces the performance figures and the servers that accept new work. */
 	setServers(servers: BackendServer[], engine: EngineProfile | undefined): void {
 		this.#engine = engine;
-		this.#held.setServers(servers);
+		this.#plans.setServers(servers);
 	}
 
 	/**
-	 * Decides for one request. A plan's place is held until `note` or `prune` frees it; a request that waits keeps its turn by asking again.
+	 * Decides for one request. A plan holds its place until `recordEvent` or `prune` releases it; a waiting request keeps its position by asking again.
 	 *
-	 * `limitShare` is the part of the servers' limits, from 0 to 1, that is granted here.
+	 * `limitShare` is the share of the servers' limits, from 0 to 1, that this node grants.
 	 */
-	decide(asked: PlanRequest, now: number, sight: FleetVisibility = fullVisibility, limitShare = 1): Either<Failure, Decision> {
+	decide(original: PlanRequest, now: number, visibility: FleetVisibility = fullVisibility, limitShare = 1): Either<Failure, Decision> {
 		this.prune(now);
-		const request = this.#countEarlierTries(asked);
+		const request = this.#adjustObjective(original);
 		if (request.longestPause !== undefined) {
 			this.#shortestPause = Math.min(this.#shortestPause, request.longestPause);
 		}
 
-		this.#sight.update(sight, now);
+		this.#visibility.update(visibility, now);
 		if (request.fingerprint !== undefined && request.crashes !== undefined) {
 			this.crashRecords.merge(request.fingerprint, request.crashes, now);
 		}
 
 		const quarantine = this.crashRecords.classify(request.fingerprint, now);
 		if (quarantine.kind === 'rejected') {
-			return Left(describeRejection(quarantine));
+			return Left(createRejection(quarantine));
 		}
 
 		const usable = this.#listUsable(request, quarantine, now);
@@ -169,19 +168,19 @@
 			return Left(createFailure('no_backend_server', `no backend server of ${request.service} takes new work`));
 		}
 
-		const gated = {request, usable, share: limitShare};
-		const open = this.#gate.listAvailable(gated, now);
-		if (open.length === 0) {
-			return this.#gate.queueOrReject(gated, now);
+		const gatedRequest = {request, usable, share: limitShare};
+		const available = this.#gate.listAvailable(gatedRequest, now);
+		if (available.length === 0) {
+			return this.#gate.queueOrReject(gatedRequest, now);
 		}
 
-		const planned = quarantine.kind === 'isolated' && this.#held.loads.size > 1
-			? this.#planIsolated(request, open, now)
-			: this.#planBeside(request, open, now);
+		const planned = quarantine.kind === 'isolated' && this.#plans.loads.size > 1
+			? this.#planIsolated(request, available, now)
+			: this.#planShared(request, available, now);
 		return planned.map(decision => {
 			if (decision.kind === 'plan') {
-				this.#hold(decision.plan, now, true);
-				this.#gate.recordSent(gated, decision.plan.server, now);
+				this.#addPlan(decision.plan, now, true);
+				this.#gate.recordSent(gatedRequest, decision.plan.server, now);
 				return quarantine.crashes === 0 ? decision : this.#addCrashes(decision.plan, now);
 			}
 
@@ -189,75 +188,75 @@
 		});
 	}
 
-	/** Takes over plans that another planner made; `startIn` counts from now. */
+	/** Adopts plans that another planner made; `startIn` counts from now. */
 	adopt(plans: Plan[], now: number): void {
 		for (const plan of plans) {
-			if (!this.#held.has(plan.planId)) {
-				this.#hold(plan, now, false);
+			if (!this.#plans.has(plan.planId)) {
+				this.#addPlan(plan, now, false);
 			}
 		}
 	}
 
-	/** Takes a note on how a plan went on; says so when a long read took longer than was planned with. */
-	recordEvent(note: PlanEvent, now: number): OverrunReport | undefined {
-		if (note.kind === 'server_ended') {
-			this.crashRecords.recordCrash(note.server, note.fingerprint, this.#weighCrash(note.server, note.fingerprint), now);
+	/** Records the progress of a plan; returns a report when a long prefill exceeded its allowed overrun. */
+	recordEvent(event: PlanEvent, now: number): OverrunReport | undefined {
+		if (event.kind === 'server_ended') {
+			this.crashRecords.recordCrash(event.server, event.fingerprint, this.#computeCrashWeight(event.server, event.fingerprint), now);
 			return undefined;
 		}
 
-		if (note.kind === 'survived') {
-			this.crashRecords.clear(note.fingerprint);
+		if (event.kind === 'survived') {
+			this.crashRecords.clear(event.fingerprint);
 			return undefined;
 		}
 
-		if (note.kind === 'failed') {
-			const board = this.#held.loads.get(note.server);
-			// A server that was given a long read is silent while it reads, and none the worse for it.
-			if (note.trouble !== 'silent' || !board?.hasRecentLongPrefill(now)) {
-				board?.health.recordFailure(note.trouble, now);
+		if (event.kind === 'failed') {
+			const load = this.#plans.loads.get(event.server);
+			// A server is silent during a planned long prefill; that is no failure.
+			if (event.trouble !== 'silent' || !load?.hasRecentLongPrefill(now)) {
+				load?.health.recordFailure(event.trouble, now);
 			}
 
 			return undefined;
 		}
 
-		if (note.kind === 'started') {
-			return this.#noteStart(note.planId, now);
+		if (event.kind === 'started') {
+			return this.#recordStart(event.planId, now);
 		}
 
-		const held = this.#release(note.planId);
-		if (held !== undefined && note.isUnanswered === true) {
-			this.#noteAbandoned(held.plan, now);
+		const active = this.#release(event.planId);
+		if (active !== undefined && event.isUnanswered === true) {
+			this.#recordAbandoned(active.plan, now);
 		}
 
 		return undefined;
 	}
 
-	/** Servers that may have crashed under requests that they did not answer. */
+	/** Servers that may have crashed with unanswered attempts. */
 	listAbandonedServers(): BackendServerId[] {
 		return this.#abandoned.listServers();
 	}
 
-	/** Counts a server's crash for the requests whose attempts there ended without an answer at most `age` milliseconds ago; returns those for which it was not known. */
+	/** Counts a server's crash against the requests whose attempts there ended without an answer at most `age` milliseconds ago; returns those for which it is new. */
 	attributeCrash(server: BackendServerId, now: number, age?: number): RequestFingerprint[] {
-		return this.#abandoned.take(server, now, age).filter(fingerprint => this.crashRecords.recordCrash(server, fingerprint, this.#weighCrash(server, fingerprint), now));
+		return this.#abandoned.take(server, now, age).filter(fingerprint => this.crashRecords.recordCrash(server, fingerprint, this.#computeCrashWeight(server, fingerprint), now));
 	}
 
-	/** Forgets the unanswered attempts at a server that leaves as planned. */
+	/** Drops the unanswered attempts at a server that leaves as planned. */
 	dropAbandoned(server: BackendServerId, now: number): void {
 		this.#abandoned.take(server, now);
 	}
 
-	/** Forgets the plans of a node that is gone. It reports no crash under them any more. */
+	/** Releases the plans of a failed node, which can no longer report a crash. */
 	releaseNode(node: BoxId, now: number): void {
-		for (const plan of this.#held.listByNode(node)) {
+		for (const plan of this.#plans.listByNode(node)) {
 			this.#release(plan.planId);
-			this.#noteAbandoned(plan, now);
+			this.#recordAbandoned(plan, now);
 		}
 	}
 
-	/** Forgets the plans of a node that it does not carry out: their answer or the note of their end was lost on the way. */
+	/** Releases the plans of a node that it does not run, because the decision or the end event was lost in transit; returns their number. */
 	reconcile(node: BoxId, active: ReadonlySet<PlanId>, now: number): number {
-		const unknown = this.#held.listUnknown(node, active, now);
+		const unknown = this.#plans.listUnknown(node, active, now);
 		for (const {planId} of unknown) {
 			this.#release(planId);
 		}
@@ -265,33 +264,33 @@
 		return unknown.length;
 	}
 
-	/** Forgets plans whose time is over. */
+	/** Releases plans that have expired. */
 	prune(now: number): void {
-		this.#reads.prune(now);
-		for (const {planId} of this.#held.listExpired(now)) {
+		this.#scheduler.prune(now);
+		for (const {planId} of this.#plans.listExpired(now)) {
 			this.#release(planId);
 		}
 	}
 
-	#noteStart(planId: PlanId, now: number): OverrunReport | undefined {
-		const held = this.#held.recordStart(planId, now);
-		if (held === undefined) {
+	#recordStart(planId: PlanId, now: number): OverrunReport | undefined {
+		const active = this.#plans.recordStart(planId, now);
+		if (active === undefined) {
 			return undefined;
 		}
 
-		this.#held.loads.get(held.plan.server)?.health.recordSuccess(now);
-		return this.#noteRead(held, now);
+		this.#plans.loads.get(active.plan.server)?.health.recordSuccess(now);
+		return this.#recordPrefill(active, now);
 	}
 
-	/** Plans that another planner made say nothing of when they were to be sent. */
-	#noteRead({plan, since, isShort, isDecidedHere}: ActivePlan, now: number): OverrunReport | undefined {
+	/** Skips plans of another planner: their planned start is unknown. */
+	#recordPrefill({plan, since, isShort, isDecidedHere}: ActivePlan, now: number): OverrunReport | undefined {
 		if (isShort || !isDecidedHere || plan.request.promptTokens === 0) {
 			return undefined;
 		}
 
 		const predicted = plan.expectedFirst - plan.startIn;
 		const took = now - since - plan.startIn;
-		const overrun = this.#reads.recordPrefill(predicted, took);
+		const overrun = this.#scheduler.recordPrefill(predicted, took);
 		return overrun === undefined
 			? undefined
 			: {
@@ -299,8 +298,8 @@
 			};
 	}
 
-	/** The objective counts from a caller's first try. */
-	#countEarlierTries(request: PlanRequest): PlanRequest {
+	/** Counts the objective from the caller's first try. */
+	#adjustObjective(request: PlanRequest): PlanRequest {
 		const {route, callerWaits, waited, objective} = request;
 		if (route === undefined || callerWaits === undefined) {
 			return request;
@@ -310,84 +309,84 @@
 			this.#callerWaits.add(route, callerWaits);
 		}
 
-		const tried = this.#callerWaits.estimateElapsed(route, callerWaits);
-		return {...request, objective: objective - tried, hasTried: tried > 0};
+		const elapsed = this.#callerWaits.estimateElapsed(route, callerWaits);
+		return {...request, objective: objective - elapsed, hasTried: elapsed > 0};
 	}
 
 	#listUsable(request: PlanRequest, quarantine: QuarantineState, now: number): ServerLoad[] {
 		const {excluded, failedAt = []} = request;
-		const all = [...this.#held.loads.values()];
-		const others = all.filter(board => !excluded.includes(board.server.id));
-		// The next answer of a server that failed a request may be whole, and without another one the request fails for certain.
-		const boards = others.length > 0 ? others : all.filter(board => failedAt.includes(board.server.id));
-		const rested = boards.filter(board => !board.health.isBackingOff(now));
-		const trusted = rested.filter(board => board.health.mayTake(board.taskCount, now));
-		const isFor = (board: ServerLoad) => quarantine.kind === 'isolated' || !this.#trials.isReserved(board.server.id);
-		// Any server is better than none: suspicion may be wrong for all of them at once.
-		return [trusted.filter(board => isFor(board)), rested.filter(board => isFor(board)), trusted, rested, boards].find(list => list.length > 0) ?? [];
-	}
-
-	/** The node that carries the plan out may have to decide for the request later. */
+		const all = [...this.#plans.loads.values()];
+		const others = all.filter(load => !excluded.includes(load.server.id));
+		// A server that failed the request may succeed next time; without any other server the request would certainly fail.
+		const loads = others.length > 0 ? others : all.filter(load => failedAt.includes(load.server.id));
+		const notBackedOff = loads.filter(load => !load.health.isBackingOff(now));
+		const reliable = notBackedOff.filter(load => load.health.mayTake(load.taskCount, now));
+		const isOpenTo = (load: ServerLoad) => quarantine.kind === 'isolated' || !this.#trials.isReserved(load.server.id);
+		// Any server is better than none: the failures may have a common cause.
+		return [reliable.filter(load => isOpenTo(load)), notBackedOff.filter(load => isOpenTo(load)), reliable, notBackedOff, loads].find(list => list.length > 0) ?? [];
+	}
+
+	/** Adds the crash records, as the node that runs the plan may have to decide for the request later. */
 	#addCrashes(plan: Plan, now: number): Decision {
 		const {request} = plan;
 		return {kind: 'plan', plan: {...plan, request: {...request, crashes: this.crashRecords.describe(request.fingerprint!, now)}}};
 	}
 
-	#planBeside(request: PlanRequest, usable: ServerLoad[], now: number): Either<Failure, Decision> {
+	#planShared(request: PlanRequest, usable: ServerLoad[], now: number): Either<Failure, Decision> {
 		return this.#engine === undefined || request.promptTokens === 0
 			? this.#planPlain(request, usable, now)
 			: this.#planPrompt(request, usable, this.#engine, now);
 	}
 
-	/** Isolates a request that crashed servers on a server of its own. */
+	/** Runs a request that crashed servers on a server of its own. */
 	#planIsolated(request: PlanRequest, usable: ServerLoad[], now: number): Either<Failure, Decision> {
 		if (request.patience <= trialRetryDelay) {
-			return Left(createFailure('overloaded', 'servers ended while they ran this request, and none is free to run it by itself'));
+			return Left(createFailure('overloaded', 'backend servers crashed while they ran this request, and none is free to run it in isolation'));
 		}
 
-		const board = this.#trials.findServer(request.fingerprint!, usable, this.#held.loads.size, now);
-		if (board === undefined) {
+		const load = this.#trials.findServer(request.fingerprint!, usable, this.#plans.loads.size, now);
+		if (load === undefined) {
 			return Right({kind: 'wait', askAgainIn: trialRetryDelay, reason: 'trial'});
 		}
 
 		const isPrompt = this.#engine !== undefined && request.promptTokens > 0;
 		const expectedFirst = isPrompt ? computePrefillTime(this.#engine!, request.promptTokens) : 0;
-		const decision = this.#createPlan(request, board.server.id, {expectedFirst, ownTokens: isPrompt ? request.promptTokens + request.outputTokens : 0});
-		this.#trials.recordStart(board.server.id, decision.plan.planId);
+		const decision = this.#createPlan(request, load.server.id, {expectedFirst, ownTokens: isPrompt ? request.promptTokens + request.outputTokens : 0});
+		this.#trials.recordStart(load.server.id, decision.plan.planId);
 		return Right(decision);
 	}
 
-	/** A server that takes no new work may leave as planned, which is no crash. */
-	#noteAbandoned({server, request: {fingerprint}}: Plan, now: number): void {
-		if (fingerprint !== undefined && this.#held.loads.has(server)) {
+	/** A server that accepts no new work may be leaving as planned, which is no crash. */
+	#recordAbandoned({server, request: {fingerprint}}: Plan, now: number): void {
+		if (fingerprint !== undefined && this.#plans.loads.has(server)) {
 			this.#abandoned.add(server, fingerprint, now);
 		}
 	}
 
-	/** The weight of a crash for a request: none for one that runs on all servers. */
-	#weighCrash(server: BackendServerId, fingerprint: RequestFingerprint): number {
+	/** Weight of a crash for a request; 0 for a request that runs on all servers. */
+	#computeCrashWeight(server: BackendServerId, fingerprint: RequestFingerprint): number {
 		if (this.#trials.isReserved(server)) {
 			return isolatedCrashWeight;
 		}
 
-		const places = this.#held.findServers(fingerprint);
-		places.delete(server);
-		return 1 - (places.size / Math.max(1, this.#held.loads.size));
+		const otherServers = this.#plans.findServers(fingerprint);
+		otherServers.delete(server);
+		return 1 - (otherServers.size / Math.max(1, this.#plans.loads.size));
 	}
 
 	#planPlain(request: PlanRequest, usable: ServerLoad[], now: number): Either<Failure, Decision> {
-		const ordered = this.#sight.isLimited ? rotateServers(usable, request.requestId) : usable;
-		const best = findMin(ordered, board => (board.taskCount / board.server.slots) + board.health.computeFailureShare(now))!;
+		const ordered = this.#visibility.isLimited ? rotateServers(usable, request.requestId) : usable;
+		const best = findMin(ordered, load => (load.taskCount / load.server.slots) + load.health.computeFailureShare(now))!;
 		return Right(this.#createPlan(request, best.server.id, {expectedFirst: 0}));
 	}
 
 	#planPrompt(request: PlanRequest, usable: ServerLoad[], engine: EngineProfile, now: number): Either<Failure, Decision> {
-		const groups = this.#sight.isLimited ? divideWithoutDemand(usable, request.requestId) : this.#shares.divide([...this.#held.loads.values()], usable, engine, now);
-		const readTime = computePrefillTime(engine, request.promptTokens);
-		const isLong = readTime > longReadShare * this.#shortestPause;
+		const groups = this.#visibility.isLimited ? divideWithoutDemand(usable, request.requestId) : this.#partition.divide([...this.#plans.loads.values()], usable, engine, now);
+		const prefillTime = computePrefillTime(engine, request.promptTokens);
+		const isLong = prefillTime > longPrefillShare * this.#shortestPause;
 		if (isLong) {
-			this.#shares.recordLong(request, readTime, now);
-			if (this.#sight.shouldWait(request, readTime, now)) {
+			this.#partition.recordLong(request, prefillTime, now);
+			if (this.#visibility.shouldWait(request, prefillTime, now)) {
 				return Right({kind: 'wait', askAgainIn: visibilityRetryDelay, reason: 'sight'});
 			}
 
@@ -407,12 +406,12 @@
 	}
 
 	#planLong(request: PlanRequest, servers: ServerLoad[], engine: EngineProfile, now: number): Either<Failure, Decision> {
-		return this.#reads.decide(request, servers, engine, now).map(decision => decision.kind === 'wait'
+		return this.#scheduler.decide(request, servers, engine, now).map(decision => decision.kind === 'wait'
 			? decision
 			: this.#createPlan(request, decision.server, decision.parts));
 	}
 
-	#createPlan(request: PlanRequest, server: BackendServerId, more: Partial<Plan>): Extract<Decision, {kind: 'plan'}> {
+	#createPlan(request: PlanRequest, server: BackendServerId, fields: Partial<Plan>): Extract<Decision, {kind: 'plan'}> {
 		const plan = {
 			planId: this.#ids.createUuid().slice(-planIdLength) as PlanId,
 			request,
@@ -421,31 +420,31 @@
 			startIn: 0,
 			expectedFirst: 0,
 			ownTokens: 0,
-			...more,
+			...fields,
 		};
 		return {kind: 'plan', plan};
 	}
 
-	#hold(plan: Plan, now: number, isDecidedHere: boolean): void {
+	#addPlan(plan: Plan, now: number, isDecidedHere: boolean): void {
 		const {promptTokens} = plan.request;
 		const engine = promptTokens > 0 ? this.#engine : undefined;
-		const isLong = engine !== undefined && computePrefillTime(engine, promptTokens) > longReadShare * this.#shortestPause;
-		const {isShort} = this.#held.add(plan, {engine, isLong, isDecidedHere}, now);
+		const isLong = engine !== undefined && computePrefillTime(engine, promptTokens) > longPrefillShare * this.#shortestPause;
+		const {isShort} = this.#plans.add(plan, {engine, isLong, isDecidedHere}, now);
 		if (isShort) {
-			this.#shares.addShort();
+			this.#partition.addShort();
 		}
 	}
 
 	#release(planId: PlanId): ActivePlan | undefined {
-		const held = this.#held.release(planId);
-		if (held !== undefined) {
+		const active = this.#plans.release(planId);
+		if (active !== undefined) {
 			this.#trials.release(planId);
 		}
 
-		if (held?.isShort) {
-			this.#shares.removeShort();
+		if (active?.isShort) {
+			this.#partition.removeShort();
 		}
 
-		return held;
+		return active;
 	}
 }
--- a/src/planning/prefill-demand.ts
+++ b/src/planning/prefill-demand.ts
@@ -1,48 +1,46 @@
-/**
- * What reading was asked for lately: those of the last seconds stand for those soon to come. Pure.
- */
+/** Recent prefill demand, used as the forecast for the next seconds. Pure. */
 import type {EngineProfile} from '../routing/index.js';
 import {computeValue} from './answer-value.js';
 import {computePrefillTime} from './engine-model.js';
 import type {PlanRequest} from './plan.js';
 
-/** Time for which a request counts as demand, in milliseconds: a few times the longest read. */
-const demandMemory = 10_000;
+/** Time for which a request counts as demand, in milliseconds: a few times the longest prefill. */
+const demandWindow = 10_000;
 
-/** Most servers that read one prompt: what a server takes as helpers, and itself. */
+/** Maximum number of servers that prefill one prompt: one server and the helpers that it accepts. */
 export const maxPrefillServers = 16;
 
-/** One request that was asked for. */
-type Asked = {at: number; readTime: number; worth: number};
+/** One requested prefill. */
+type DemandEntry = {at: number; prefillTime: number; value: number};
 
-/** Reads of the last seconds. */
+/** Prefills requested within the window. */
 export class PrefillDemand {
-	readonly #asked: Asked[] = [];
+	readonly #entries: DemandEntry[] = [];
 
-	/** Notes a request when it comes, not each time it asks again. */
+	/** Records a request on arrival, not when it asks again. */
 	add(request: PlanRequest, engine: EngineProfile, now: number): void {
 		if (request.waited === 0) {
-			this.#asked.push({
-				at: now, readTime: computePrefillTime(engine, request.promptTokens), worth: computeValue(request.promptTokens),
+			this.#entries.push({
+				at: now, prefillTime: computePrefillTime(engine, request.promptTokens), value: computeValue(request.promptTokens),
 			});
 		}
 	}
 
-	/** Reading asked for, as a number of servers that it keeps at work. */
+	/** Number of servers that the requested prefills keep busy. */
 	countBusyServers(now: number): number {
-		this.#forget(now);
-		return this.#asked.reduce((sum, asked) => sum + asked.readTime, 0) / demandMemory;
+		this.#prune(now);
+		return this.#entries.reduce((sum, entry) => sum + entry.prefillTime, 0) / demandWindow;
 	}
 
-	/** Worth that came in with each millisecond. */
+	/** Value requested per millisecond, in tokens. */
 	computeValueRate(now: number): number {
-		this.#forget(now);
-		return this.#asked.reduce((sum, asked) => sum + asked.worth, 0) / demandMemory;
+		this.#prune(now);
+		return this.#entries.reduce((sum, entry) => sum + entry.value, 0) / demandWindow;
 	}
 
-	#forget(now: number): void {
-		while (this.#asked.length > 0 && this.#asked[0].at < now - demandMemory) {
-			this.#asked.shift();
+	#prune(now: number): void {
+		while (this.#entries.length > 0 && this.#entries[0].at < now - demandWindow) {
+			this.#entries.shift();
 		}
 	}
 }
--- a/src/planning/prefill-options.ts
+++ b/src/planning/prefill-options.ts
@@ -1,9 +1,8 @@
 /**
- * The ways to read a prompt, and the best of them: how many servers, which ones and when. Pure.
+ * Evaluates the options for the prefill of a prompt: how many servers, which ones and when. Pure.
  *
- * A way is worth what it is expected to earn, less what those who write there lose by a
- * pause too long and the servers' time, at what the demand seen or those who wait would
- * bring in it.
+ * The net value of an option is its expected value, less the loss to decoding requests that are paused too long, and less the price of the
+ * servers' time: what recent demand or the waiting requests would earn in it.
  */
 import type {EngineProfile} from '../routing/index.js';
 import {computeValue, estimateValueShare, findLossShare} from './answer-value.js';
@@ -13,69 +12,69 @@
 import {maxPrefillServers, type PrefillDemand} from './prefill-demand.js';
 import type {ServerLoad} from './server-load.js';
 
-/** What a read leaves of the pause that callers accept, in milliseconds: a short read beside it and the way of an event. */
+/** Part of the accepted pause that a prefill leaves unused, in milliseconds: for a short prefill beside it and the transit of an event. */
 export const pauseMargin = 40;
 
-/** Share of its worth that an answer loses by the time of a whole objective: sooner leaves room for what goes wrong. Between 0.05 and 0.3 replays bring the same. */
-const delayCost = 0.15;
+/** Share of its value that an answer loses when it takes the whole objective: an earlier answer leaves room for faults. */
+const delayPenalty = 0.15;
 
-/** Price of a server's time, as a share of what the demand seen brings in it: without it late giants take the servers of others, and 80 replayed days bring 0.817 of the worth for 0.823. */
-const demandShare = 0.6;
+/** Price of a server's time, as a share of what recent demand earns in it: without a price, late large prompts take servers that others need. */
+const demandPriceShare = 0.6;
 
-/** The same as a share of what those who wait lose meanwhile, so that reads are split less while others wait: without it 0.834 for 0.840. */
-const pressureShare = 0.5;
+/** Price as a share of what waiting requests lose meanwhile, so that prompts are split less while others wait. */
+const waitingPriceShare = 0.5;
 
-/** Numbers of servers that are tried, each by about a third more than the one before. With one server for each read 80 replayed days bring 0.62 of the worth for 0.82. */
-const readerCounts = [1, 2, 3, 4, 6, 8, 12, maxPrefillServers];
+/** Numbers of servers that are evaluated, in steps of about a third. Using only one server for each prefill earns much less. */
+const serverCounts = [1, 2, 3, 4, 6, 8, 12, maxPrefillServers];
 
-/** A server and when it may begin to read, in milliseconds from now. */
+/** A server and when it may start a prefill, in milliseconds from now. */
 export type AvailableServer = {load: ServerLoad; freeIn: number};
 
-/** A way to read a prompt; times in milliseconds from now, worth in tokens. */
+/** An option to prefill a prompt; times in milliseconds from now, values in tokens. */
 export type PrefillOption = {
 	servers: ServerLoad[];
 	wait: number;
 	prefillTime: number;
-	/** When the first event is due. */
+	/** When the first event is expected. */
 	finish: number;
-	/** What those who write at the readers lose. */
-	harm: number;
-	/** The silence there that comes nearest to what is borne; undefined when nobody writes there. */
+	/** Loss to requests that decode at the servers. */
+	stallLoss: number;
+	/** The pause that comes closest to what a stream there tolerates; undefined when no stream decodes there. */
 	pause?: PlannedPause;
-	/** What it brings, all in all. */
+	/** Net value. */
 	value: number;
 };
 
-/** What ways are judged by. */
-export type WayParts = {
+/** Inputs of the evaluation. */
+export type PrefillContext = {
 	request: PlanRequest;
 	engine: EngineProfile;
 	demand: PrefillDemand;
-	/** Worth that others who wait lose with each millisecond. */
+	/** Value that other waiting requests lose per millisecond. */
 	waitingLoss: number;
-	/** Share by which a read may be longer than predicted. */
+	/** Share by which a prefill may be longer than predicted. */
 	overrun: number;
 	now: number;
 };
 
-type Candidate = AvailableServer & {harm: number};
+type Candidate = AvailableServer & {stallLoss: number};
 
-/** The way that brings most; undefined when none brings anything. */
-export function findBestOption(openings: AvailableServer[], parts: WayParts): PrefillOption | undefined {
-	const byTime = [...openings].sort((left, right) => left.freeIn - right.freeIn);
-	const utilisation = Math.max(parts.demand.countBusyServers(parts.now) / openings.length, computeOccupancy(openings, parts.engine));
-	const seen = demandShare * parts.demand.computeValueRate(parts.now) * Math.min(1, utilisation);
-	const timePrice = Math.max(seen, pressureShare * parts.waitingLoss) / openings.length;
+/** The option with the highest net value; undefined when none is positive. */
+export function findBestOption(available: AvailableServer[], context: PrefillContext): PrefillOption | undefined {
+	const byTime = [...available].sort((left, right) => left.freeIn - right.freeIn);
+	const utilisation = Math.max(context.demand.countBusyServers(context.now) / available.length, computeOccupancy(available, context.engine));
+	const demandPrice = demandPriceShare * context.demand.computeValueRate(context.now) * Math.min(1, utilisation);
+	const timePrice = Math.max(demandPrice, waitingPriceShare * context.waitingLoss) / available.length;
 	let best: PrefillOption | undefined;
-	for (const count of readerCounts) {
+	for (const count of serverCounts) {
 		if (count > byTime.length) {
 			break;
 		}
 
-		for (const chosen of listChoices(byTime, count, parts)) {
-			const way = describeWay(chosen, parts, timePrice);
-			if (way.value > (best?.value ?? 0)) {
-				best = way;
+		for (const chosen of listCandidateSets(byTime, count, context)) {
+			const option = evaluateOption(chosen, context, timePrice);
+			if (option.value > (best?.value ?? 0)) {
+				best = option;
 			}
 		}
 	}
@@ -83,47 +82,47 @@
 	return best;
 }
 
-/** Share of the servers' places that are taken. */
-function computeOccupancy(openings: AvailableServer[], engine: EngineProfile): number {
-	const writers = openings.reduce((sum, {load: board}) => sum + board.writers, 0);
-	return writers / (engine.slots * openings.length);
+/** Share of the servers' slots in use. */
+function computeOccupancy(available: AvailableServer[], engine: EngineProfile): number {
+	const writers = available.reduce((sum, {load}) => sum + load.writers, 0);
+	return writers / (engine.slots * available.length);
 }
 
-/** The earliest choice of so many servers, and the earliest that hurts nobody. Servers whose writers would be moved for their silence are none. */
-function listChoices(byTime: AvailableServer[], count: number, {engine, request, overrun}: WayParts): Candidate[][] {
-	const part = computePrefillTime(engine, request.promptTokens, count);
-	const pause = part + pauseMargin;
-	const bearing = byTime.filter(({load: board}) => board.canAbsorbPrefill(engine, pause, overrun));
-	if (bearing.length < count) {
+/** The earliest set of `count` servers, and the earliest set without any loss. Servers whose streams would be moved during the pause are excluded. */
+function listCandidateSets(byTime: AvailableServer[], count: number, {engine, request, overrun}: PrefillContext): Candidate[][] {
+	const sharedTime = computePrefillTime(engine, request.promptTokens, count);
+	const pause = sharedTime + pauseMargin;
+	const eligible = byTime.filter(({load}) => load.canAbsorbPrefill(engine, pause, overrun));
+	if (eligible.length < count) {
 		return [];
 	}
 
-	const candidates = bearing.map(({load: load, freeIn}) => ({load: load, freeIn, harm: load.estimateStallLoss(engine, pause)}));
-	const harmless = candidates.filter(candidate => candidate.harm === 0).slice(0, count);
+	const candidates = eligible.map(({load, freeIn}) => ({load, freeIn, stallLoss: load.estimateStallLoss(engine, pause)}));
+	const unaffected = candidates.filter(candidate => candidate.stallLoss === 0).slice(0, count);
 	const latest = candidates[count - 1].freeIn;
-	// Of the servers that are free by then, those where least is lost.
-	const earliest = candidates.filter(candidate => candidate.freeIn <= latest).sort((left, right) => left.harm - right.harm).slice(0, count);
-	return harmless.length === count ? [earliest, harmless] : [earliest];
+	// Of the servers that are free by then, those with the lowest loss.
+	const earliest = candidates.filter(candidate => candidate.freeIn <= latest).sort((left, right) => left.stallLoss - right.stallLoss).slice(0, count);
+	return unaffected.length === count ? [earliest, unaffected] : [earliest];
 }
 
-function describeWay(chosen: Candidate[], {request, engine}: WayParts, timePrice: number): PrefillOption {
-	const part = computePrefillTime(engine, request.promptTokens, chosen.length);
+function evaluateOption(chosen: Candidate[], {request, engine}: PrefillContext, timePrice: number): PrefillOption {
+	const sharedTime = computePrefillTime(engine, request.promptTokens, chosen.length);
 	const wait = Math.max(...chosen.map(candidate => candidate.freeIn));
-	const readTime = part + Math.max(...chosen.map(candidate => candidate.load.computePassTime(engine, 0)));
-	const finish = wait + readTime + computePassTime(engine, 1, request.promptTokens / chosen.length);
-	const harm = chosen.reduce((sum, candidate) => sum + candidate.harm, 0);
-	const credit = estimateValueShare(finish, request.objective, request.patience);
-	const stake = credit > 0 ? findLossShare(request) : 0;
-	const wholeObjective = Math.max(1, request.objective + request.waited);
-	const delay = delayCost * credit * Math.min(1, finish / wholeObjective);
-	const costs = harm + (chosen.length * readTime * timePrice);
+	const prefillTime = sharedTime + Math.max(...chosen.map(candidate => candidate.load.computePassTime(engine, 0)));
+	const finish = wait + prefillTime + computePassTime(engine, 1, request.promptTokens / chosen.length);
+	const stallLoss = chosen.reduce((sum, candidate) => sum + candidate.stallLoss, 0);
+	const valueShare = estimateValueShare(finish, request.objective, request.patience);
+	const lossShare = valueShare > 0 ? findLossShare(request) : 0;
+	const fullObjective = Math.max(1, request.objective + request.waited);
+	const delayLoss = delayPenalty * valueShare * Math.min(1, finish / fullObjective);
+	const costs = stallLoss + (chosen.length * prefillTime * timePrice);
 	return {
-		servers: chosen.map(candidate => candidate.load), wait, prefillTime: readTime, finish, harm, pause: findWorstPause(chosen, engine, part),
-		value: (computeValue(request.promptTokens) * (credit - delay + stake)) - costs,
+		servers: chosen.map(candidate => candidate.load), wait, prefillTime, finish, stallLoss, pause: findWorstPause(chosen, engine, sharedTime),
+		value: (computeValue(request.promptTokens) * (valueShare - delayLoss + lossShare)) - costs,
 	};
 }
 
-function findWorstPause(chosen: Candidate[], engine: EngineProfile, part: number): PlannedPause | undefined {
-	const pauses = chosen.map(({load: board}) => board.computePause(engine, part)).filter(pause => pause !== undefined);
+function findWorstPause(chosen: Candidate[], engine: EngineProfile, sharedTime: number): PlannedPause | undefined {
+	const pauses = chosen.map(({load}) => load.computePause(engine, sharedTime)).filter(pause => pause !== undefined);
 	return findMin(pauses, ({length, bearable}) => bearable / length);
 }
--- a/src/planning/prefill-queue.ts
+++ b/src/planning/prefill-queue.ts
@@ -1,9 +1,8 @@
 /**
- * Who waits to be read, and in which order they are thought of. Pure.
+ * Long prompts that wait for prefill, and the order in which they are considered. Pure.
  *
- * Those that can be in time come first, by when they are due; where they cannot all be in
- * time, those go behind that bring least for their reading, and are read late. A request
- * stays in line by asking again.
+ * Prompts that can be in time come first, by deadline. Where not all can be in time, those with the least value for their prefill time are
+ * moved behind the others and served late. A request keeps its position by asking again.
  */
 import type {RequestId} from '../common/index.js';
 import type {EngineProfile} from '../routing/index.js';
@@ -12,89 +11,89 @@
 import {findMin} from './find-min.js';
 import type {PlanRequest} from './plan.js';
 
-/** Time without asking again after which a request has left, in milliseconds: well above the longest pause between asks. */
-const forgetAfter = 600;
+/** Time after which a request that does not ask again leaves the queue, in milliseconds: well above the longest retry delay. */
+const entryTimeout = 600;
 
-/** Least time until it is late by which a request that waits is weighed, in milliseconds: about a pass and a read. */
-const shortestSlack = 300;
+/** Minimum time to the deadline in the waiting loss, in milliseconds: about one pass and one prefill. */
+const minSlack = 300;
 
-/** One request in line; times by the planner's clock. */
-type Waiting = {request: PlanRequest; askedAt: number; due: number};
+/** A queued request; times by the planner's clock. */
+type QueuedPrompt = {request: PlanRequest; lastAskedAt: number; deadline: number};
 
-/** Requests that wait to be read. */
+/** Queue of prompts that wait for prefill. */
 export class PrefillQueue {
-	readonly #waiting = new Map<RequestId, Waiting>();
+	readonly #entries = new Map<RequestId, QueuedPrompt>();
 
-	/** How many wait. */
+	/** Number of queued requests. */
 	get length(): number {
-		return this.#waiting.size;
+		return this.#entries.size;
 	}
 
-	/** Joins the line, or stays in it. */
+	/** Adds a request or refreshes its entry. */
 	join(request: PlanRequest, now: number): void {
-		this.#waiting.set(request.requestId, {request, askedAt: now, due: now + request.objective});
+		this.#entries.set(request.requestId, {request, lastAskedAt: now, deadline: now + request.objective});
 	}
 
-	/** Leaves the line. */
+	/** Removes a request. */
 	leave(requestId: RequestId): void {
-		this.#waiting.delete(requestId);
+		this.#entries.delete(requestId);
 	}
 
-	/** Forgets who has not asked for long. */
+	/** Drops requests that have not asked recently. */
 	prune(now: number): void {
-		for (const {request, askedAt} of this.#waiting.values()) {
-			if (now - askedAt > forgetAfter) {
-				this.#waiting.delete(request.requestId);
+		for (const {request, lastAskedAt} of this.#entries.values()) {
+			if (now - lastAskedAt > entryTimeout) {
+				this.#entries.delete(request.requestId);
 			}
 		}
 	}
 
-	/** Worth that those who wait lose with each millisecond: what they bring, spread over the time until they are late. */
+	/** Value that the other waiting requests lose per millisecond: their value, spread over the time until their deadlines. */
 	computeWaitingLoss(requestId: RequestId, now: number): number {
-		let pressure = 0;
-		for (const {request, due} of this.#waiting.values()) {
-			if (request.requestId !== requestId && due > now) {
-				pressure += computeValue(request.promptTokens) / Math.max(shortestSlack, due - now);
+		let loss = 0;
+		for (const {request, deadline} of this.#entries.values()) {
+			if (request.requestId !== requestId && deadline > now) {
+				loss += computeValue(request.promptTokens) / Math.max(minSlack, deadline - now);
 			}
 		}
 
-		return pressure;
+		return loss;
 	}
 
-	/** Those before a request, with their times as of now; `servers` read together. */
+	/** Requests ahead of this one, with their times as of now; `servers` is the number of servers that prefill together. */
 	listAhead(requestId: RequestId, engine: EngineProfile, servers: number, now: number): PlanRequest[] {
 		const ordered = this.#order(engine, servers, now);
-		const index = ordered.findIndex(waiting => waiting.request.requestId === requestId);
-		return ordered.slice(0, index).map(({request, askedAt}) => passTime(request, now - askedAt));
+		const index = ordered.findIndex(entry => entry.request.requestId === requestId);
+		return ordered.slice(0, index).map(({request, lastAskedAt}) => advanceTime(request, now - lastAskedAt));
 	}
 
-	#order(engine: EngineProfile, servers: number, now: number): Waiting[] {
-		const byDue = [...this.#waiting.values()].sort((left, right) => left.due - right.due);
-		const computeRead = (waiting: Waiting) => computePrefillTime(engine, waiting.request.promptTokens, servers);
-		const inTime: Waiting[] = [];
-		const late: Waiting[] = [];
+	#order(engine: EngineProfile, servers: number, now: number): QueuedPrompt[] {
+		const byDeadline = [...this.#entries.values()].sort((left, right) => left.deadline - right.deadline);
+		const computeTime = (entry: QueuedPrompt) => computePrefillTime(engine, entry.request.promptTokens, servers);
+		const inTime: QueuedPrompt[] = [];
+		const late: QueuedPrompt[] = [];
 		let end = now;
-		for (const waiting of byDue) {
-			inTime.push(waiting);
-			end += computeRead(waiting);
-			while (end > waiting.due && inTime.length > 0) {
-				const least = findMin(inTime, candidate => computeDensity(candidate, engine))!;
-				inTime.splice(inTime.indexOf(least), 1);
-				late.push(least);
-				end -= computeRead(least);
+		for (const entry of byDeadline) {
+			inTime.push(entry);
+			end += computeTime(entry);
+			while (end > entry.deadline && inTime.length > 0) {
+				const lowest = findMin(inTime, candidate => computeValueDensity(candidate, engine))!;
+				inTime.splice(inTime.indexOf(lowest), 1);
+				late.push(lowest);
+				end -= computeTime(lowest);
 			}
 		}
 
-		return [...inTime, ...late.sort((left, right) => computeDensity(right, engine) - computeDensity(left, engine))];
+		return [...inTime, ...late.sort((left, right) => computeValueDensity(right, engine) - computeValueDensity(left, engine))];
 	}
 }
 
-/** Worth for each millisecond of reading. */
-function computeDensity({request}: Waiting, engine: EngineProfile): number {
+/** Value per millisecond of prefill. */
+function computeValueDensity({request}: QueuedPrompt, engine: EngineProfile): number {
 	return computeValue(request.promptTokens) / computePrefillTime(engine, request.promptTokens);
 }
 
-function passTime(request: PlanRequest, time: number): PlanRequest {
+function advanceTime(request: PlanRequest, time: number): PlanRequest {
 	return {
 		...request, waited: request.waited + time, objective: request.objective - time, patience: request.patience - time, timeLeft: request.timeLeft - time,
 	};
--- a/src/planning/retry-histories.ts
+++ b/src/planning/retry-histories.ts
@@ -1,84 +1,84 @@
 /**
- * What nodes remember of requests and retries that others decided for them, as told to the one that decides now. Pure.
+ * Retry histories that nodes report to a new deciding node: requests and retries that other nodes decided for them. Pure.
  *
  * Times are monotonic milliseconds.
  */
 
-/** A node's part of the last window; it leaves out what the node that it tells has decided itself. */
+/** A node's part of the last window, without what the receiving node has decided itself. */
 export type RetryHistory = {
-	/** The life of the node that tells it. */
+	/** Identifies the process of the reporting node. */
 	life: string;
-	/** Milliseconds since its process started: before that it remembers nothing. */
+	/** Milliseconds since that process started: it has no history before that. */
 	age: number;
-	/** Nodes that it has heard of lately, live or not, itself among them: one that has just started knows fewer. */
+	/** Number of nodes that it has seen recently, live or not, including itself: lower after a restart. */
 	known: number;
-	/** Its requests, each as milliseconds ago. */
+	/** Its requests, as ages in milliseconds. */
 	requests: number[];
-	/** Its retries out of the fleet's budget, each as milliseconds ago. */
+	/** Its retries from the fleet's budget, as ages in milliseconds. */
 	retries: number[];
-	/** Mean worth of those requests, in tokens. */
+	/** Mean value of those requests, in tokens. */
 	meanWorth: number;
 };
 
-/** Who tells a history. */
+/** The node that reports a history. */
 export type ReportingNode = Pick<RetryHistory, 'life' | 'age' | 'known'>;
 
-/** Requests, retries and worth of a window. */
+/** Requests, retries and total value of a window. */
 export type WindowCounts = {requests: number; retries: number; value: number};
 
-type ToldHistory = RetryHistory & {toldAt: number};
+type ReceivedHistory = RetryHistory & {receivedAt: number};
 
-/** The histories that a deciding node was told. */
+/** Histories that a deciding node has received. */
 export class RetryHistories {
 	readonly #window: number;
-	readonly #histories = new Map<string, ToldHistory>();
+	readonly #histories = new Map<string, ReceivedHistory>();
 
 	constructor(window: number) {
 		this.#window = window;
 	}
 
-	/** Takes a history in place of an earlier one of the same life. */
+	/** Adds a history, replacing an earlier one of the same process. */
 	add(history: RetryHistory, now: number): void {
-		this.#histories.set(history.life, {...history, toldAt: now});
+		this.#histories.set(history.life, {...history, receivedAt: now});
 	}
 
-	/** Forgets what was told before a moment: other nodes may have decided since. */
-	dropBefore(moment: number): void {
-		for (const [life, {toldAt}] of this.#histories) {
-			if (toldAt < moment) {
+	/** Drops histories received before a time: other nodes may have decided since. */
+	dropBefore(time: number): void {
+		for (const [life, {receivedAt}] of this.#histories) {
+			if (receivedAt < time) {
 				this.#histories.delete(life);
 			}
 		}
 	}
 
-	/** What was told and lies in the window still. */
+	/** Counts of the received histories that are still in the window. */
 	count(now: number): WindowCounts {
 		const counts = {requests: 0, retries: 0, value: 0};
 		for (const [life, history] of this.#histories) {
-			const passed = now - history.toldAt;
-			if (passed > this.#window) {
+			const elapsed = now - history.receivedAt;
+			if (elapsed > this.#window) {
 				this.#histories.delete(life);
 				continue;
 			}
 
-			const countIn = (times: number[]) => times.filter(ago => ago + passed <= this.#window).length;
-			const requests = countIn(history.requests);
+			const countRecent = (times: number[]) => times.filter(age => age + elapsed <= this.#window).length;
+			const requests = countRecent(history.requests);
 			counts.requests += requests;
-			counts.retries += countIn(history.retries);
+			counts.retries += countRecent(history.retries);
 			counts.value += requests * history.meanWorth;
 		}
 
 		return counts;
 	}
 
-	/** The most nodes that any of them knows of. */
+	/** The highest number of nodes that any reporting node knows of. */
 	findMaxKnown(): number {
 		return Math.max(0, ...[...this.#histories.values()].map(history => history.known));
 	}
 
-	/** How far back a node's memory reaches that has told it, in milliseconds; undefined for one that has not. */
+	/** How far back a reporting node's history reaches, in milliseconds; undefined without a report. */
 	computeHistoryAge(life: string, now: number): number | undefined {
 		const history = this.#histories.get(life);
-		return history === undefined ? undefined : history.age + now - history.toldAt;
+		return history === undefined ? undefined : history.age + now - history.receivedAt;
 	}
 }
--- a/src/planning/retry-window.ts
+++ b/src/planning/retry-window.ts
@@ -1,64 +1,64 @@
 /**
- * Requests and retries of a sliding window, and whether one more retry stays within bounds. Pure.
+ * Requests and retries in a sliding window, and whether one more retry stays within the budget. Pure.
  *
  * Times are monotonic milliseconds.
  */
 import type {WindowCounts} from './retry-histories.js';
 
-/** Part of a budget that is kept for retries that bring more than the mean request: a lost giant must not find it spent on short ones. */
-const keptForMore = 0.25;
+/** Share of a budget that is reserved for retries of above-average value: retries of short requests must not use it up when a large prompt fails. */
+const reservedShare = 0.25;
 
-/** Counts of nobody. */
-const nothing: WindowCounts = {requests: 0, retries: 0, value: 0};
+/** Counts without any requests. */
+const noCounts: WindowCounts = {requests: 0, retries: 0, value: 0};
 
-/** Bounds of retries for a service, over the whole fleet. */
+/** Retry budget of a service, for the whole fleet. */
 export type RetryLimits = {
-	/** Retries allowed for each request. */
+	/** Retries allowed per request. */
 	ratio: number;
-	/** Retries allowed besides. */
+	/** Retries allowed independently of requests. */
 	slack: number;
 	/** Length of the window in milliseconds. */
 	window: number;
 };
 
-/** What may change of the bounds while they are counted. */
+/** The limits that can be changed at run time. */
 export type RetryAllowance = Pick<RetryLimits, 'ratio' | 'slack'>;
 
-/** What part of the bounds may be spent by whoever counts: shares of each, from 0 to 1. */
+/** Shares of each limit, from 0 to 1, that the counting node may use. */
 export type GrantShare = {ratio: number; slack: number};
 
-/** Retries of one service as one node counts them. */
+/** Retries of one service as counted by one node. */
 export class RetryWindow {
 	#limits: RetryLimits;
-	readonly #requests: Array<{at: number; worth: number}> = [];
+	readonly #requests: Array<{at: number; value: number}> = [];
 	readonly #retries: number[] = [];
-	#worth = 0;
+	#totalValue = 0;
 
 	constructor(limits: RetryLimits) {
 		this.#limits = limits;
 	}
 
-	/** Changes how much is allowed; what was counted stays, and the window's length with it. */
+	/** Changes the limits; the counts and the length of the window are kept. */
 	setAllowance({ratio, slack}: RetryAllowance): void {
 		this.#limits = {ratio, slack, window: this.#limits.window};
 	}
 
-	/** Notes a request and what its answer is worth, in tokens. */
-	addRequest(now: number, worth: number): void {
-		this.#requests.push({at: now, worth});
-		this.#worth += worth;
-		this.#forget(now);
+	/** Records a request and the value of its answer, in tokens. */
+	addRequest(now: number, value: number): void {
+		this.#requests.push({at: now, value});
+		this.#totalValue += value;
+		this.#prune(now);
 	}
 
-	/** Takes one retry of a request that is worth so much; false when the share is spent. `elsewhere`: what others have counted of the same window. */
-	takeRetry(now: number, share: GrantShare, worth: number, elsewhere: WindowCounts = nothing): boolean {
-		this.#forget(now);
-		const requests = this.#requests.length + elsewhere.requests;
+	/** Takes one retry of a request of this value; false when the share is used up. `otherCounts` are counts of the same window by other nodes. */
+	takeRetry(now: number, share: GrantShare, value: number, otherCounts: WindowCounts = noCounts): boolean {
+		this.#prune(now);
+		const requests = this.#requests.length + otherCounts.requests;
 		const allowed = this.#computeAllowed(share, requests);
-		// Without requests to compare with, every one counts as bringing more.
-		const bringsMore = worth * requests >= this.#worth + elsewhere.value;
-		const open = allowed * (bringsMore ? 1 : 1 - keptForMore);
-		if (this.#retries.length + elsewhere.retries + 1 > open) {
+		// Without requests to compare with, every request counts as above average.
+		const isAboveMean = value * requests >= this.#totalValue + otherCounts.value;
+		const available = allowed * (isAboveMean ? 1 : 1 - reservedShare);
+		if (this.#retries.length + otherCounts.retries + 1 > available) {
 			return false;
 		}
 
@@ -66,27 +66,27 @@
 		return true;
 	}
 
-	/** Retries that are left for requests that bring more than the mean. */
-	countRemaining(now: number, share: GrantShare, elsewhere: WindowCounts = nothing): number {
-		this.#forget(now);
-		const allowed = this.#computeAllowed(share, this.#requests.length + elsewhere.requests);
-		return Math.max(0, Math.floor(allowed - this.#retries.length - elsewhere.retries));
+	/** Retries left for requests of above-average value. */
+	countRemaining(now: number, share: GrantShare, otherCounts: WindowCounts = noCounts): number {
+		this.#prune(now);
+		const allowed = this.#computeAllowed(share, this.#requests.length + otherCounts.requests);
+		return Math.max(0, Math.floor(allowed - this.#retries.length - otherCounts.retries));
 	}
 
-	/** What was counted of the window that ends now. */
+	/** Counts of the window that ends now. */
 	count(now: number): WindowCounts {
-		this.#forget(now);
-		return {requests: this.#requests.length, retries: this.#retries.length, value: this.#worth};
+		this.#prune(now);
+		return {requests: this.#requests.length, retries: this.#retries.length, value: this.#totalValue};
 	}
 
 	#computeAllowed(share: GrantShare, requests: number): number {
 		return (share.ratio * this.#limits.ratio * requests) + (share.slack * this.#limits.slack);
 	}
 
-	#forget(now: number): void {
+	#prune(now: number): void {
 		const oldest = now - this.#limits.window;
 		while (this.#requests.length > 0 && this.#requests[0].at < oldest) {
-			this.#worth -= this.#requests.shift()!.worth;
+			this.#totalValue -= this.#requests.shift()!.value;
 		}
 
 		while (this.#retries.length > 0 && this.#retries[0] < oldest) {
--- a/src/planning/server-health.ts
+++ b/src/planning/server-health.ts
@@ -1,114 +1,114 @@
 /**
- * How far a backend server is trusted, from what requests have seen of it. Pure.
+ * Health of a backend server, as observed by requests. Pure.
  *
- * Nothing is taken out on one failed answer; a server that cannot be reached or keeps
- * silent is left alone for a while, longer each time, and then tried with new work again.
+ * A single failed answer excludes no server. An unreachable or silent server is put in backoff, longer each time, and then tried with new
+ * work again.
  */
 import type {Trouble} from './plan.js';
 
-/** First time for which a server is left alone, and the longest, in milliseconds: a crashed server costs its callers one silence in this time. */
-const firstRest = 1000;
-const longestRest = 8000;
+/** Initial and maximum backoff, in milliseconds: a crashed server delays its callers once in this time. */
+const initialBackoff = 1000;
+const maxBackoff = 8000;
 
-/** A server that refuses as full is passed over this long, in milliseconds: about the time in which one of its places becomes free. */
-const fullRest = 100;
+/** Backoff of a server that reports being full, in milliseconds: about the time in which one of its slots becomes free. */
+const fullBackoff = 100;
 
-/** Weight of the newest answer in the share of spoiled ones. */
+/** Weight of the latest answer in the smoothed failure share. */
 const smoothing = 0.15;
 
-/** Share of spoiled answers from which a server is passed over while others are better. */
-const spoiledShare = 0.35;
+/** Failure share above which a server is avoided while others are better. */
+const unreliableShare = 0.35;
 
 /**
- * Time in which doubt halves while nothing is heard of a server, first and at most, in milliseconds. It doubles with each request that fails
- * after doubt had faded: a server that fails them all is tried about four times a minute at most, and one that is well has work again in half a minute.
+ * Half-life of a high failure share without new answers, initial and maximum, in milliseconds. It doubles with each failure after the share
+ * had decayed: a server that fails every request is tried about four times a minute at most, and a recovered one has work again in half a minute.
  */
-const firstHalfLife = 5000;
-const longestHalfLife = 40_000;
+const initialHalfLife = 5000;
+const maxHalfLife = 40_000;
 
-/** Trust in one server. */
+/** Health of one server. */
 export class ServerHealth {
-	#restingUntil = 0;
-	#rest = firstRest;
-	#spoiled = 0;
-	/** When its share of spoiled answers was worked out last. */
-	#spoiledAt = 0;
-	#halfLife = firstHalfLife;
-	/** Whether it was doubted and has given no whole answer since. */
+	#backoffUntil = 0;
+	#backoff = initialBackoff;
+	#failureShare = 0;
+	/** When the failure share was last computed. */
+	#failureShareAt = 0;
+	#halfLife = initialHalfLife;
+	/** Whether the server was unreliable and has not completed an answer since. */
 	#isOnProbation = false;
 
-	/** Whether the server is left alone at the moment. */
+	/** Whether the server is in backoff. */
 	isBackingOff(now: number): boolean {
-		return now < this.#restingUntil;
+		return now < this.#backoffUntil;
 	}
 
-	/** For how long the server is left alone from now on, in milliseconds. */
+	/** Remaining backoff, in milliseconds. */
 	computeBackoffLeft(now: number): number {
-		return Math.max(0, this.#restingUntil - now);
+		return Math.max(0, this.#backoffUntil - now);
 	}
 
-	/** Smoothed share of answers that were spoiled, from 0 to 1. Doubt fades: a doubted server gets no work that could show that it is well. */
+	/** Smoothed share of failed answers, from 0 to 1. A high share decays with time, since an avoided server gets no work that could show its recovery. */
 	computeFailureShare(now: number): number {
-		return this.#spoiled > spoiledShare
-			? this.#spoiled * (0.5 ** (Math.max(0, now - this.#spoiledAt) / this.#halfLife))
-			: this.#spoiled;
+		return this.#failureShare > unreliableShare
+			? this.#failureShare * (0.5 ** (Math.max(0, now - this.#failureShareAt) / this.#halfLife))
+			: this.#failureShare;
 	}
 
-	/** Whether so many answers are spoiled that others come first. */
+	/** Whether so many answers fail that other servers are preferred. */
 	isUnreliable(now: number): boolean {
-		return this.computeFailureShare(now) > spoiledShare;
+		return this.computeFailureShare(now) > unreliableShare;
 	}
 
-	/** Whether it is trusted with one more request beside so many. One that was doubted is tried with one at a time. */
-	mayTake(work: number, now: number): boolean {
-		return !this.isUnreliable(now) && (!this.#isOnProbation || work === 0);
+	/** Whether it may take one more request beside `taskCount` others. A server on probation takes one at a time. */
+	mayTake(taskCount: number, now: number): boolean {
+		return !this.isUnreliable(now) && (!this.#isOnProbation || taskCount === 0);
 	}
 
-	/** Notes a whole answer. */
+	/** Records a complete answer. */
 	recordSuccess(now: number): void {
-		this.#rest = firstRest;
-		this.#setSpoiled(this.computeFailureShare(now) * (1 - smoothing), now);
+		this.#backoff = initialBackoff;
+		this.#setFailureShare(this.computeFailureShare(now) * (1 - smoothing), now);
 		if (!this.isUnreliable(now)) {
 			this.#isOnProbation = false;
-			this.#halfLife = firstHalfLife;
+			this.#halfLife = initialHalfLife;
 		}
 	}
 
-	/** Notes trouble; returns whether the server is now left alone. */
+	/** Records a failure; returns whether a new backoff starts. */
 	recordFailure(trouble: Trouble, now: number): boolean {
 		if (trouble === 'full') {
-			this.#restingUntil = Math.max(this.#restingUntil, now + fullRest);
+			this.#backoffUntil = Math.max(this.#backoffUntil, now + fullBackoff);
 			return false;
 		}
 
-		// Requests that were sent before the rest began found the same silence. With connections that had fallen silent
-		// together, three of them counted one by one took a server out for as long as another one was trusted.
+		// Requests that were sent before the backoff began observe the same silence. Counted one by one, three
+		// connections that fell silent together would make the server unreliable.
 		if (trouble === 'silent' && this.isBackingOff(now)) {
 			return false;
 		}
 
-		this.#noteSpoiled(now);
+		this.#recordFailedAnswer(now);
 		if (trouble === 'spoiled' || this.isBackingOff(now)) {
 			return false;
 		}
 
-		this.#restingUntil = now + this.#rest;
-		this.#rest = Math.min(longestRest, this.#rest * 2);
+		this.#backoffUntil = now + this.#backoff;
+		this.#backoff = Math.min(maxBackoff, this.#backoff * 2);
 		return true;
 	}
 
-	#noteSpoiled(now: number): void {
-		const hadFaded = this.#isOnProbation && !this.isUnreliable(now);
-		this.#setSpoiled((this.computeFailureShare(now) * (1 - smoothing)) + smoothing, now);
-		if (hadFaded) {
-			this.#halfLife = Math.min(longestHalfLife, this.#halfLife * 2);
+	#recordFailedAnswer(now: number): void {
+		const hasDecayed = this.#isOnProbation && !this.isUnreliable(now);
+		this.#setFailureShare((this.computeFailureShare(now) * (1 - smoothing)) + smoothing, now);
+		if (hasDecayed) {
+			this.#halfLife = Math.min(maxHalfLife, this.#halfLife * 2);
 		}
 
 		this.#isOnProbation ||= this.isUnreliable(now);
 	}
 
-	#setSpoiled(share: number, now: number): void {
-		this.#spoiled = share;
-		this.#spoiledAt = now;
+	#setFailureShare(share: number, now: number): void {
+		this.#failureShare = share;
+		this.#failureShareAt = now;
 	}
 }
--- a/src/planning/server-load.ts
+++ b/src/planning/server-load.ts
@@ -1,5 +1,5 @@
 /**
- * What a planner has put on one backend server: reads, writers, memory. Pure.
+ * Planned load of one backend server: prefill, decoding requests, memory. Pure.
  *
  * Times are monotonic milliseconds of the planner's clock.
  */
@@ -10,83 +10,83 @@
 import type {PlannedPause} from './plan.js';
 import {ServerHealth} from './server-health.js';
 
-/** One request's work on a server. */
+/** One request's task on a server. */
 export type Task = {
 	planId: PlanId;
-	/** Whether it only reads a part here and writes elsewhere. */
+	/** Whether it only prefills a part here and decodes elsewhere. */
 	isHelper: boolean;
-	/** Whether its reading takes a server for itself. */
+	/** Whether its prefill occupies a server exclusively. */
 	isLong: boolean;
-	/** When its reading is expected to be done. */
+	/** When its prefill is expected to end. */
 	prefillEnd: number;
-	/** Time of its reading here. */
+	/** Duration of its prefill here. */
 	prefillTime: number;
-	/** Memory it holds here, in tokens. */
+	/** Memory it occupies here, in tokens. */
 	heldTokens: number;
-	/** Longest pause that its caller accepts while it writes here; undefined for helpers. */
+	/** Longest pause that its caller accepts while it decodes here; undefined for helpers. */
 	longestPause?: number;
-	/** Silence after which it is moved elsewhere while it writes here; undefined for helpers. */
+	/** Silence after which it is moved elsewhere while it decodes here; undefined for helpers. */
 	longestSilence?: number;
 	/** Tokens of its whole prompt; 0 for helpers. */
 	promptTokens: number;
-	/** Tokens of context while it writes here. */
+	/** Tokens of context while it decodes here. */
 	contextTokens: number;
 	/** Whether its first event has been seen. */
 	hasStarted: boolean;
-	/** Whether a pass that was planned was longer than its caller accepts: longer ones cost it nothing more. */
+	/** Whether a planned pass has already exceeded the pause that its caller accepts: longer passes cause no further loss. */
 	hasExceededPause: boolean;
 };
 
-/** Notes that the first event of a request was seen: its reading is done. */
-export function markTaskStarted(work: Task, now: number): void {
-	work.hasStarted = true;
-	work.prefillEnd = Math.min(work.prefillEnd, now);
+/** Marks a task as started: its first event was seen, so its prefill has ended. */
+export function markTaskStarted(task: Task, now: number): void {
+	task.hasStarted = true;
+	task.prefillEnd = Math.min(task.prefillEnd, now);
 }
 
-/** Whether nothing of it is left at its server: a helper that holds no memory has only read. */
+/** Whether the task has ended at its server: a helper without memory only prefills. */
 export function isTaskDone({hasStarted, isHelper, heldTokens}: Task): boolean {
 	return hasStarted && isHelper && heldTokens === 0;
 }
 
-/** Whether its prompt is still read, as far as is known. */
-function isReading({hasStarted, prefillEnd: readUntil}: Task, now: number): boolean {
-	return !hasStarted && readUntil > now;
+/** Whether its prompt is still being prefilled, according to the plan. */
+function isPrefilling({hasStarted, prefillEnd}: Task, now: number): boolean {
+	return !hasStarted && prefillEnd > now;
 }
 
-/** Sums over the work of a server, kept until it changes. */
+/** Sums over the tasks of a server, cached until they change. */
 type Summary = {
-	/** Requests that write here or are about to; helpers don't count. */
+	/** Requests that decode here or are about to; helpers don't count. */
 	writers: number;
 	contextTokens: number;
 	heldTokens: number;
-	/** The pauses that writers accept and the silences that they bear, shortest first, and what is lost when a pass is longer than this one, in tokens. */
-	pauses: Array<{longest: number; lost: number}>;
-	/** Shortest silence after which one of those who write here is moved elsewhere, in milliseconds. */
+	/** The pauses that decoding requests accept and the silences that they tolerate, shortest first, each with the total loss in tokens when a pass is longer. */
+	pauses: Array<{maxPause: number; loss: number}>;
+	/** Shortest silence after which a stream that decodes here is moved elsewhere, in milliseconds. */
 	longestSilence: number;
 };
 
-/** Time after a long read in which it still explains a silence, in milliseconds: about the silence after which streams are moved. */
-const readMemory = 1500;
+/** Time after a long prefill during which it still explains a silence, in milliseconds: about the silence after which streams are moved. */
+const recentPrefillWindow = 1500;
 
-/** The work of one server. */
+/** Planned load of one server. */
 export class ServerLoad {
 	readonly health = new ServerHealth();
-	readonly #works = new Map<PlanId, Task>();
-	/** Work whose reading may not be done yet, in the order in which it came. */
-	#reading: Task[] = [];
+	readonly #tasks = new Map<PlanId, Task>();
+	/** Tasks whose prefill may not have ended, in order of arrival. */
+	#prefilling: Task[] = [];
 	#summary: Summary | undefined;
-	#lastLongReadEnd = -Infinity;
+	#lastLongPrefillEnd = -Infinity;
 
 	constructor(public server: BackendServer) {}
 
-	/** Requests that write here or are about to; helpers don't count. */
+	/** Requests that decode here or are about to; helpers don't count. */
 	get writers(): number {
 		return this.#summarise().writers;
 	}
 
-	/** All work, helpers too. */
+	/** Number of tasks, including helpers. */
 	get taskCount(): number {
-		return this.#works.size;
+		return this.#tasks.size;
 	}
 
 	/** Tokens of memory in use. */
@@ -94,155 +94,149 @@
 		return this.#summarise().heldTokens;
 	}
 
-	/** Adds work. */
-	add(work: Task): void {
-		this.#works.set(work.planId, work);
-		this.#reading.push(work);
+	/** Adds a task. */
+	add(task: Task): void {
+		this.#tasks.set(task.planId, task);
+		this.#prefilling.push(task);
 		this.#summary = undefined;
-		if (work.isLong) {
-			this.#lastLongReadEnd = Math.max(this.#lastLongReadEnd, work.prefillEnd);
+		if (task.isLong) {
+			this.#lastLongPrefillEnd = Math.max(this.#lastLongPrefillEnd, task.prefillEnd);
 		}
 	}
 
-	/** Notes that the first event of a request was seen: its reading is done everywhere. */
+	/** Records the first event of a request: its prefill has ended on all servers. */
 	markStarted(planId: PlanId, now: number): void {
-		const work = this.#works.get(planId);
-		if (work === undefined) {
+		const task = this.#tasks.get(planId);
+		if (task === undefined) {
 			return;
 		}
 
-		markTaskStarted(work, now);
-		if (isTaskDone(work)) {
+		markTaskStarted(task, now);
+		if (isTaskDone(task)) {
 			this.remove(planId);
 		}
 	}
 
-	/** Takes work out. */
+	/** Removes a task. */
 	remove(planId: PlanId): void {
-		this.#works.delete(planId);
-		this.#reading = this.#reading.filter(work => work.planId !== planId);
+		this.#tasks.delete(planId);
+		this.#prefilling = this.#prefilling.filter(task => task.planId !== planId);
 		this.#summary = undefined;
 	}
 
-	/** Time of reading still to be done from now on, short and long. */
+	/** Remaining prefill time, of short and long prompts. */
 	computePendingPrefill(now: number): number {
 		let sum = 0;
-		for (const {prefillTime: readTime, prefillEnd: readUntil} of this.#listReading(now)) {
-			sum += Math.min(readTime, readUntil - now);
+		for (const {prefillTime, prefillEnd} of this.#listPrefilling(now)) {
+			sum += Math.min(prefillTime, prefillEnd - now);
 		}
 
 		return sum;
 	}
 
-	/** When the last long read here is expected to be done; now, when there is none. */
+	/** When the last long prefill here is expected to end; now, when there is none. */
 	findLongPrefillEnd(now: number): number {
 		let end = now;
-		for (const {isLong, prefillEnd: readUntil} of this.#listReading(now)) {
+		for (const {isLong, prefillEnd} of this.#listPrefilling(now)) {
 			if (isLong) {
-				end = Math.max(end, readUntil);
+				end = Math.max(end, prefillEnd);
 			}
 		}
 
 		return end;
 	}
 
-	/** Whether a long read here is under way or was due to end a moment ago: it explains a silence. Without it 80 replayed days bring 0.796 for 0.804, servers left alone for nothing. */
+	/** Whether a long prefill runs here or was due to end recently, which explains a silence: otherwise healthy servers would be put in backoff. */
 	hasRecentLongPrefill(now: number): boolean {
-		return now < this.#lastLongReadEnd + readMemory;
+		return now < this.#lastLongPrefillEnd + recentPrefillWindow;
 	}
 
-	/**
-	 * What those who write here lose when a pass reads for so long besides, in tokens: a pause too long makes an answer late.
-	 *
-	 * Without it 80 replayed days bring 0.717 of the worth for 0.823.
-	 */
-	estimateStallLoss(engine: EngineProfile, readTime: number): number {
-		const pass = this.computePassTime(engine, 0) + readTime;
-		let lost = 0;
+	/** Loss to requests that decode here when a pass also prefills for this long, in tokens: too long a pause makes an answer late. */
+	estimateStallLoss(engine: EngineProfile, prefillTime: number): number {
+		const passTime = this.computePassTime(engine, 0) + prefillTime;
+		let loss = 0;
 		for (const pause of this.#summarise().pauses) {
-			if (pause.longest >= pass) {
+			if (pause.maxPause >= passTime) {
 				break;
 			}
 
-			lost = pause.lost;
+			loss = pause.loss;
 		}
 
-		return lost;
+		return loss;
 	}
 
 	/**
-	 * Whether nobody who writes here is silent until its node moves it when a pass reads for so long besides, and for `overrun` of it longer.
+	 * Whether no stream that decodes here is moved when a pass also prefills for this long, plus `overrun` of the pass.
 	 *
-	 * Nodes know nothing of reads and take such a silence for a fault: forty streams moved at once find no place, and
-	 * their callers leave. Without it 64 replayed days whose servers differ from their figures by up to 15 in 100 bring
-	 * 0.748 of the worth for 0.760, with 2,955 moves for 956 and 1,465 callers that leave for 778.
+	 * Nodes do not know of planned prefills and treat such a silence as a fault: forty streams moved at once find no place, and their callers leave.
 	 */
-	canAbsorbPrefill(engine: EngineProfile, readTime: number, overrun: number): boolean {
-		const pause = this.computePause(engine, readTime);
+	canAbsorbPrefill(engine: EngineProfile, prefillTime: number, overrun: number): boolean {
+		const pause = this.computePause(engine, prefillTime);
 		return pause === undefined || pause.length * (1 + overrun) <= pause.bearable;
 	}
 
-	/** The silence that a pass makes which reads for so long besides; undefined when nobody writes here whose callers leave for it. */
-	computePause(engine: EngineProfile, readTime: number): PlannedPause | undefined {
+	/** The pause caused by a pass that also prefills for this long; undefined when no stream that decodes here would be moved. */
+	computePause(engine: EngineProfile, prefillTime: number): PlannedPause | undefined {
 		const {longestSilence} = this.#summarise();
-		return longestSilence === Infinity ? undefined : {length: this.computePassTime(engine, 0) + readTime, bearable: longestSilence};
+		return longestSilence === Infinity ? undefined : {length: this.computePassTime(engine, 0) + prefillTime, bearable: longestSilence};
 	}
 
-	/** Notes that a pass reads for so long: whose pause that is too long for has no more to lose. Without it 0.832 for 0.840. */
-	markExceededPauses(engine: EngineProfile, readTime: number): void {
-		const pass = this.computePassTime(engine, 0) + readTime;
-		for (const work of this.#works.values()) {
-			work.hasExceededPause ||= work.longestPause !== undefined && work.longestPause < pass;
+	/** Marks tasks whose accepted pause is exceeded by a pass that also prefills for this long: they have nothing more to lose. */
+	markExceededPauses(engine: EngineProfile, prefillTime: number): void {
+		const passTime = this.computePassTime(engine, 0) + prefillTime;
+		for (const task of this.#tasks.values()) {
+			task.hasExceededPause ||= task.longestPause !== undefined && task.longestPause < passTime;
 		}
 
 		this.#summary = undefined;
 	}
 
-	/** Time of a pass over those that write here, with one more of so many tokens. */
-	computePassTime(engine: EngineProfile, moreContext: number): number {
+	/** Duration of a pass over the decoding requests, with one more of `addedContext` tokens. */
+	computePassTime(engine: EngineProfile, addedContext: number): number {
 		const {writers, contextTokens} = this.#summarise();
-		return computePassTime(engine, writers + (moreContext > 0 ? 1 : 0), contextTokens + moreContext);
+		return computePassTime(engine, writers + (addedContext > 0 ? 1 : 0), contextTokens + addedContext);
 	}
 
-	/** Work that is still read: what has been read once is not looked at again, while an answer is written for many seconds and each decision asks all servers. */
-	#listReading(now: number): Task[] {
-		if (this.#reading.some(work => !isReading(work, now))) {
-			this.#reading = this.#reading.filter(work => isReading(work, now));
+	/** Tasks still in prefill. Finished ones are removed, because decoding takes many seconds and each decision checks all servers. */
+	#listPrefilling(now: number): Task[] {
+		if (this.#prefilling.some(task => !isPrefilling(task, now))) {
+			this.#prefilling = this.#prefilling.filter(task => isPrefilling(task, now));
 		}
 
-		return this.#reading;
+		return this.#prefilling;
 	}
 
 	#summarise(): Summary {
-		this.#summary ??= summariseWorks([...this.#works.values()]);
+		this.#summary ??= summariseTasks([...this.#tasks.values()]);
 		return this.#summary;
 	}
 }
 
-function summariseWorks(works: Task[]): Summary {
+function summariseTasks(tasks: Task[]): Summary {
 	const summary: Summary = {
 		writers: 0, contextTokens: 0, heldTokens: 0, pauses: [], longestSilence: Infinity,
 	};
-	for (const work of works) {
-		summary.writers += work.isHelper ? 0 : 1;
-		summary.contextTokens += work.contextTokens;
-		summary.heldTokens += work.heldTokens;
-		const worth = computeValue(work.promptTokens);
-		if (work.longestPause !== undefined && !work.hasExceededPause) {
-			summary.pauses.push({longest: work.longestPause, lost: worth * (1 - lateValueShare)});
+	for (const task of tasks) {
+		summary.writers += task.isHelper ? 0 : 1;
+		summary.contextTokens += task.contextTokens;
+		summary.heldTokens += task.heldTokens;
+		const value = computeValue(task.promptTokens);
+		if (task.longestPause !== undefined && !task.hasExceededPause) {
+			summary.pauses.push({maxPause: task.longestPause, loss: value * (1 - lateValueShare)});
 		}
 
-		if (work.longestSilence !== undefined) {
-			summary.pauses.push({longest: work.longestSilence, lost: worth * lateValueShare});
-			summary.longestSilence = Math.min(summary.longestSilence, work.longestSilence);
+		if (task.longestSilence !== undefined) {
+			summary.pauses.push({maxPause: task.longestSilence, loss: value * lateValueShare});
+			summary.longestSilence = Math.min(summary.longestSilence, task.longestSilence);
 		}
 	}
 
-	summary.pauses.sort((left, right) => left.longest - right.longest);
-	let lost = 0;
+	summary.pauses.sort((left, right) => left.maxPause - right.maxPause);
+	let loss = 0;
 	for (const pause of summary.pauses) {
-		lost += pause.lost;
-		pause.lost = lost;
+		loss += pause.loss;
+		pause.loss = loss;
 	}
 
 	return summary;
--- a/src/planning/server-partition.ts
+++ b/src/planning/server-partition.ts
@@ -1,103 +1,100 @@
 /**
- * How the servers of a pool are divided between short requests and long prompts. Pure.
+ * Divides the servers of a pool between short requests and long prompts. Pure.
  *
- * The servers stand in the order of their ids, which every node knows alike: long prompts
- * are read from its beginning, short ones are packed from its end.
+ * Servers are ordered by id, which is the same on every node: long prompts are prefilled at the start of the order, short requests are packed
+ * from its end.
  */
 import type {EngineProfile} from '../routing/index.js';
 import type {PlanRequest} from './plan.js';
 import type {ServerLoad} from './server-load.js';
 
-/** Share of a server's places that short requests fill before the next server is opened to them, while no long prompt is asked for: their reads collide less. One server more is open then. */
-const loosePacking = 0.5;
-const looseSpare = 1;
+/** Share of a server's slots that short requests fill before the next server is used, while there are no long prompts, and the number of spare servers: prefills collide less. */
+const relaxedFill = 0.5;
+const relaxedSpareServers = 1;
 
-/**
- * The same while long prompts are asked for and leave room: a server on which nobody writes can take a read of any length. Filled to 0.5 and with a
- * server more, 160 replayed days bring 0.724 of the worth for 0.730, and 0.742 of what the long prompts are worth for 0.748; filled to 0.7 0.728.
- */
-const closePacking = 0.6;
+/** The same while long prompts leave room: an idle server can take a prefill of any length. Lower and higher values earned less in replays. */
+const normalFill = 0.6;
 
-/** The same while long prompts need the servers: a step grows by a few hundredths with each writer, and a burst still finds a place. */
-const tightPacking = 0.95;
+/** The same while long prompts need the servers: a step slows by a few hundredths with each decoding request, and a burst still fits. */
+const maxFill = 0.95;
 
-/** Share of their time for which servers of long prompts are planned to read: the rest is passes of writers and chance. */
-const readUtilisation = 0.6;
+/** Planned prefill utilisation of servers for long prompts: the rest is for decode passes and variation. */
+const prefillUtilisation = 0.6;
 
-/** Least share of the servers for either kind while both are asked for. */
-const leastShare = 0.1;
+/** Minimum share of the servers for either kind while both are in demand. */
+const minGroupShare = 0.1;
 
-/** How long a kind of request counts as asked for after the last one, in milliseconds. */
-const demandMemory = 10_000;
+/** How long a request counts as demand, in milliseconds. */
+const demandWindow = 10_000;
 
-/** The servers open to each kind of request. */
+/** The servers available to each kind of request. */
 export type ServerGroups = {forLong: ServerLoad[]; forShort: ServerLoad[]};
 
-/** Divides servers by what is asked for. Undivided, 80 replayed days bring 0.801 of the worth for 0.823: writers everywhere leave no server that bears a long read. */
+/** Divides servers by demand. Undivided, decoding requests spread over all servers and leave none that can absorb a long prefill. */
 export class ServerPartition {
-	readonly #longReads: Array<{at: number; readTime: number}> = [];
-	#shortWriters = 0;
+	readonly #longPrompts: Array<{at: number; prefillTime: number}> = [];
+	#shortCount = 0;
 
-	/** Short requests that have a place. */
+	/** Short requests in progress. */
 	get shortCount(): number {
-		return this.#shortWriters;
+		return this.#shortCount;
 	}
 
-	/** Notes a short request that has a place. */
+	/** Counts a short request that starts. */
 	addShort(): void {
-		this.#shortWriters++;
+		this.#shortCount++;
 	}
 
-	/** Notes that a short request has ended. */
+	/** Counts a short request that has ended. */
 	removeShort(): void {
-		this.#shortWriters--;
+		this.#shortCount--;
 	}
 
-	/** A request is demand when it comes, not each time it asks again. */
-	recordLong(request: PlanRequest, readTime: number, now: number): void {
+	/** Records a long prompt on arrival, not when it asks again. */
+	recordLong(request: PlanRequest, prefillTime: number, now: number): void {
 		if (request.waited === 0) {
-			this.#longReads.push({at: now, readTime});
+			this.#longPrompts.push({at: now, prefillTime});
 		}
 	}
 
 	/**
-	 * Divides the servers by their fixed order, over all of them: one that rests for a moment must not move the border.
+	 * Divides all servers by their fixed order, so that a server in temporary backoff does not shift the boundary.
 	 *
-	 * A kind whose servers all rest gets the others.
+	 * A kind without usable servers gets those of the other.
 	 */
 	divide(all: ServerLoad[], usable: ServerLoad[], engine: EngineProfile, now: number): ServerGroups {
-		const border = Math.max(1, all.length - this.#countShortServers(all.length, engine, now));
-		const longServers = new Set(all.sort(compareServers).slice(0, border));
-		const forLong = usable.filter(board => longServers.has(board));
-		const forShort = usable.filter(board => !longServers.has(board));
+		const splitIndex = Math.max(1, all.length - this.#countShortServers(all.length, engine, now));
+		const longServers = new Set(all.sort(compareServers).slice(0, splitIndex));
+		const forLong = usable.filter(load => longServers.has(load));
+		const forShort = usable.filter(load => !longServers.has(load));
 		return {
 			forLong: (forLong.length > 0 ? forLong : usable).sort(compareServers),
 			forShort: (forShort.length > 0 ? forShort : usable).sort(compareServers),
 		};
 	}
 
-	/** Servers that the long prompts of the last seconds keep reading. */
+	/** Number of servers kept busy by the long prompts of the window. */
 	#countLongServers(now: number): number {
-		while (this.#longReads.length > 0 && this.#longReads[0].at < now - demandMemory) {
-			this.#longReads.shift();
+		while (this.#longPrompts.length > 0 && this.#longPrompts[0].at < now - demandWindow) {
+			this.#longPrompts.shift();
 		}
 
-		const work = this.#longReads.reduce((sum, read) => sum + read.readTime, 0);
-		return Math.ceil(work / demandMemory / readUtilisation);
+		const work = this.#longPrompts.reduce((sum, prompt) => sum + prompt.prefillTime, 0);
+		return Math.ceil(work / demandWindow / prefillUtilisation);
 	}
 
-	/** Servers for short requests: filled the more the more long prompts there are. */
+	/** Number of servers for short requests: they are filled more densely the more long prompts there are. */
 	#countShortServers(count: number, engine: EngineProfile, now: number): number {
-		const writers = this.#shortWriters + 1;
+		const writers = this.#shortCount + 1;
 		const longServers = this.#countLongServers(now);
-		const roomy = longServers === 0
-			? Math.ceil(writers / (engine.slots * loosePacking)) + looseSpare
-			: Math.ceil(writers / (engine.slots * closePacking));
-		const tight = Math.ceil(writers / (engine.slots * tightPacking));
-		const least = Math.ceil(count * leastShare);
-		const left = count - (longServers === 0 ? 0 : Math.max(longServers, least));
-		const wanted = Math.max(Math.min(roomy, left), tight, least);
-		return Math.max(1, Math.min(wanted, longServers === 0 ? count : count - least));
+		const preferred = longServers === 0
+			? Math.ceil(writers / (engine.slots * relaxedFill)) + relaxedSpareServers
+			: Math.ceil(writers / (engine.slots * normalFill));
+		const fewest = Math.ceil(writers / (engine.slots * maxFill));
+		const minimum = Math.ceil(count * minGroupShare);
+		const remaining = count - (longServers === 0 ? 0 : Math.max(longServers, minimum));
+		const wanted = Math.max(Math.min(preferred, remaining), fewest, minimum);
+		return Math.max(1, Math.min(wanted, longServers === 0 ? count : count - minimum));
 	}
 }
 
--- a/src/planning/short-placement.ts
+++ b/src/planning/short-placement.ts
@@ -1,4 +1,4 @@
-/** Where a short request runs. Pure. */
+/** Chooses the server for a short request. Pure. */
 import type {EngineProfile} from '../routing/index.js';
 import {computeValue, estimateValueShare} from './answer-value.js';
 import {computePrefillTime} from './engine-model.js';
@@ -8,44 +8,44 @@
 import type {ServerLoad} from './server-load.js';
 import type {ServerGroups} from './server-partition.js';
 
-/** Passes that a request waits for each one too many on a server: about a tenth of a short answer. */
-const overfullPasses = 4;
+/** Passes that a request waits for each request above a server's slots: about a tenth of a short answer. */
+const passesPerExcessRequest = 4;
 
-/** Share of its worth that a short request loses by the time of a whole objective: of two servers in time the sooner one is taken. */
-const delayCost = 0.2;
+/** Share of its value that a short request loses when it takes the whole objective: of two servers in time the faster one is preferred. */
+const delayPenalty = 0.2;
 
-/** Share of its worth that a short request must bring on the servers for short ones, else it may take others. */
-const goodShare = 0.6;
+/** Share of its value that a short request must earn on the servers for short requests; otherwise it may use others. */
+const acceptableShare = 0.6;
 
-/** Share of its worth by which a server of another zone must be better: four milliseconds of a short objective, for bytes between zones have a price and its two ways take a millisecond each. With twenty milliseconds first events came 25 ms later in bursts. */
-const zoneCost = 0.002;
+/** Share of its value by which a server of another zone must be better. It equals four milliseconds of a short objective: traffic between zones is charged, and its two transits take a millisecond each. A higher cost delays first events in bursts. */
+const crossZoneCost = 0.002;
 
-/** A server that a short request may go to; `finish` is when its first event is due, in milliseconds, `cost` less what it brings, in tokens. */
-export type ShortPlace = {load: ServerLoad; cost: number; finish: number};
+/** A server for a short request; `finish` is when its first event is expected, in milliseconds, `cost` less what it earns, in tokens. */
+export type PlacementOption = {load: ServerLoad; cost: number; finish: number};
 
-/** The server where a short request brings most: an early first event, and no pause too long for those who write there. */
-export function placeShort(request: PlanRequest, groups: ServerGroups, engine: EngineProfile, now: number): ShortPlace {
-	const weigh = (board: ServerLoad) => weighPlace(board, request, engine, now);
-	const best = findMin(groups.forShort.map(board => weigh(board)), place => place.cost)!;
-	if (best.cost < computeValue(request.promptTokens) * -goodShare) {
+/** The server where a short request earns most: an early first event, and no excessive pause for requests that decode there. */
+export function placeShort(request: PlanRequest, groups: ServerGroups, engine: EngineProfile, now: number): PlacementOption {
+	const evaluate = (load: ServerLoad) => evaluatePlacement(load, request, engine, now);
+	const best = findMin(groups.forShort.map(load => evaluate(load)), option => option.cost)!;
+	if (best.cost < computeValue(request.promptTokens) * -acceptableShare) {
 		return best;
 	}
 
-	// Servers kept for long prompts are taken where those for short ones would be late.
-	return findMin([best, ...groups.forLong.map(board => weigh(board))], place => place.cost)!;
+	// Servers for long prompts are used when those for short requests would be late.
+	return findMin([best, ...groups.forLong.map(load => evaluate(load))], option => option.cost)!;
 }
 
-function weighPlace(board: ServerLoad, request: PlanRequest, engine: EngineProfile, now: number): ShortPlace {
-	const readTime = computePrefillTime(engine, request.promptTokens);
-	const worth = computeValue(request.promptTokens);
-	const pass = board.computePassTime(engine, request.promptTokens);
-	const pending = board.computePendingPrefill(now);
-	const overfull = Math.max(0, board.writers + 1 - engine.slots);
-	const lacksRoom = board.heldTokens + request.promptTokens + request.outputTokens > engine.memoryTokens * usableMemoryShare;
-	const finish = pending + (overfull * pass * overfullPasses) + (lacksRoom ? request.patience : 0) + pass + readTime;
-	const harm = board.estimateStallLoss(engine, pending + readTime);
-	const earned = estimateValueShare(finish, request.objective, request.patience) * (1 - board.health.computeFailureShare(now));
-	const delay = delayCost * finish / Math.max(pass, request.objective);
-	const isFar = request.availabilityZone !== undefined && request.availabilityZone !== board.server.availabilityZone;
-	return {load: board, finish, cost: (worth * (delay - earned + (isFar ? zoneCost : 0))) + harm};
+function evaluatePlacement(load: ServerLoad, request: PlanRequest, engine: EngineProfile, now: number): PlacementOption {
+	const prefillTime = computePrefillTime(engine, request.promptTokens);
+	const value = computeValue(request.promptTokens);
+	const passTime = load.computePassTime(engine, request.promptTokens);
+	const pendingTime = load.computePendingPrefill(now);
+	const excess = Math.max(0, load.writers + 1 - engine.slots);
+	const isMemoryShort = load.heldTokens + request.promptTokens + request.outputTokens > engine.memoryTokens * usableMemoryShare;
+	const finish = pendingTime + (excess * passTime * passesPerExcessRequest) + (isMemoryShort ? request.patience : 0) + passTime + prefillTime;
+	const stallLoss = load.estimateStallLoss(engine, pendingTime + prefillTime);
+	const expectedShare = estimateValueShare(finish, request.objective, request.patience) * (1 - load.health.computeFailureShare(now));
+	const delayLoss = delayPenalty * finish / Math.max(passTime, request.objective);
+	const isOtherZone = request.availabilityZone !== undefined && request.availabilityZone !== load.server.availabilityZone;
+	return {load, finish, cost: (value * (delayLoss - expectedShare + (isOtherZone ? crossZoneCost : 0))) + stallLoss};
 }
--- a/test/abandoned-attempts.test.ts
+++ b/test/abandoned-attempts.test.ts
@@ -8,13 +8,13 @@
 const fingerprint = 'fingerprint-a' as RequestFingerprint;
 
 /** Places a request and stops its attempt. */
-function abandon(planner: Planner, now: number, isUnanswered = true): Plan {
+function abandonAttempt(planner: Planner, now: number, isUnanswered = true): Plan {
 	const plan = planNow(planner, createPlanRequest(500, {...shortOptions, fingerprint}), now);
 	planner.recordEvent({planId: plan.planId, kind: 'ended', isUnanswered}, now + 50);
 	return plan;
 }
 
-function crashReported(planner: Planner, server: BackendServerId, now: number): RequestFingerprint[] {
+function reportCrash(planner: Planner, server: BackendServerId, now: number): RequestFingerprint[] {
 	planner.recordEvent({
 		planId: 'plan-other' as Plan['planId'], kind: 'server_ended', server, fingerprint: 'fingerprint-other' as RequestFingerprint,
 	}, now);
@@ -24,17 +24,17 @@
 test('counts a crash for a request that was stopped shortly before it', () => {
 	const planner = createPlanner();
 	for (const start of [0, 10_000, 20_000]) {
-		const {server} = abandon(planner, start);
-		expect(crashReported(planner, server, start + 200)).toEqual([fingerprint]);
+		const {server} = abandonAttempt(planner, start);
+		expect(reportCrash(planner, server, start + 200)).toEqual([fingerprint]);
 		planner.setServers(createServers(18).filter(({id}) => id !== server), engine);
 	}
 
 	expect(planner.crashRecords.classify(fingerprint, 21_000).kind).toBe('rejected');
 });
 
-test('counts a lost entry for a request that was stopped up to five seconds before', () => {
+test('counts an expired entry for a request that was stopped up to five seconds before', () => {
 	const planner = createPlanner();
-	const {server} = abandon(planner, 0);
+	const {server} = abandonAttempt(planner, 0);
 	expect(planner.listAbandonedServers()).toEqual([server]);
 	expect(planner.attributeCrash(server, 4000)).toEqual([fingerprint]);
 	expect(planner.listAbandonedServers()).toEqual([]);
@@ -42,9 +42,9 @@
 
 test('counts no crash for a request that was stopped long before it or was not sent', () => {
 	const planner = createPlanner();
-	const {server} = abandon(planner, 0);
-	expect(crashReported(planner, server, 1500)).toEqual([]);
-	abandon(planner, 10_000, false);
+	const {server} = abandonAttempt(planner, 0);
+	expect(reportCrash(planner, server, 1500)).toEqual([]);
+	abandonAttempt(planner, 10_000, false);
 	expect(planner.crashRecords.classify(fingerprint, 11_000)).toEqual({kind: 'clean', crashes: 0});
 });
 
@@ -56,7 +56,7 @@
 	expect(planner.listAbandonedServers()).toEqual([]);
 });
 
-test('counts a lost entry for a request whose node was killed', () => {
+test('counts an expired entry for a request whose node was killed', () => {
 	const planner = createPlanner();
 	const {server, request} = planNow(planner, createPlanRequest(500, {...shortOptions, fingerprint}), 0);
 	planner.releaseNode(request.node, 1300);
--- a/test/helpers/greedy-fleet.ts
+++ b/test/helpers/greedy-fleet.ts
@@ -1,34 +1,34 @@
-/** A fleet in which every call fails and is sent again as often as may be, with nodes that start again and cuts between them. */
+/** Simulates a fleet in which every call fails and is retried as often as allowed, with node restarts and network partitions. */
 import seedrandom from 'seedrandom';
 import {FleetRetryBudget, type FleetMembership, type RetryLimits} from '../../src/planning/index.js';
 
-/** What happens to a fleet: some nodes start again, or one side and the other hear only themselves for a while. */
+/** An event of a simulation: nodes restart, or the fleet is partitioned for a while. */
 export type FleetEvent =
 	| {at: number; kind: 'restart'; nodes: number[]}
 	| {at: number; kind: 'cut'; nodes: number[]; until: number};
 
-/** Length of a step and of a run, in milliseconds, and the worth of a request, in tokens. */
+/** Length of a step and of a run, in milliseconds, and the value of a request, in tokens. */
 const stepLength = 250;
 const runLength = 40_000;
-const worth = 10_000;
+const value = 10_000;
 
-/** How long a node is away that starts again, in milliseconds. */
-const timeAway = 1000;
+/** How long a restarting node is down, in milliseconds. */
+const downtime = 1000;
 
-/** Tries of one request beyond its first: a route's attempts, and some more while servers decline. */
+/** Retries of one request: the attempts of a route, and some more while servers decline. */
 const retriesPerRequest = 4;
 
-/** Nodes that each one is told of by its settings, itself among them. */
-const toldOf = 3;
+/** Number of nodes that each node knows from its settings, including itself. */
+const seedNodes = 3;
 
-/** A node as the others know it: when its present life was heard of first. */
-type Known = {life: string; learnedAt: number};
+/** A node as seen by others: its current process and when that was first seen. */
+type KnownNode = {life: string; firstSeenAt: number};
 
 class GreedyNode {
 	readonly life: string;
 	readonly retries: FleetRetryBudget;
-	readonly known = new Map<number, Known>();
-	toldLife: string | undefined;
+	readonly known = new Map<number, KnownNode>();
+	reportedTo: string | undefined;
 	readonly #startedAt: number;
 
 	constructor(index: number, limits: RetryLimits, startedAt: number) {
@@ -37,51 +37,51 @@
 		this.#startedAt = startedAt;
 	}
 
-	findAge(now: number): number {
+	computeAge(now: number): number {
 		return now - this.#startedAt;
 	}
 
 	countKnown(): number {
-		return Math.max(toldOf, this.known.size);
+		return Math.max(seedNodes, this.known.size);
 	}
 
-	hear(index: number, life: string, now: number): void {
+	observe(index: number, life: string, now: number): void {
 		if (this.known.get(index)?.life !== life) {
-			this.known.set(index, {life, learnedAt: now});
+			this.known.set(index, {life, firstSeenAt: now});
 		}
 	}
 
-	describeReach(side: number[], now: number): FleetMembership {
+	describeMembership(side: number[], now: number): FleetMembership {
 		const others = side.flatMap(index => this.known.get(index) ?? []).filter(({life}) => life !== this.life);
 		return {
-			live: [{life: this.life, observedFor: this.findAge(now)}, ...others.map(({life, learnedAt}) => ({life, observedFor: now - learnedAt}))],
+			live: [{life: this.life, observedFor: this.computeAge(now)}, ...others.map(({life, firstSeenAt}) => ({life, observedFor: now - firstSeenAt}))],
 			known: this.countKnown(),
-			age: this.findAge(now),
+			age: this.computeAge(now),
 		};
 	}
 }
 
-/** Such a fleet on a clock of its own; the first node of a side decides for it. */
+/** A simulated fleet with its own clock; the first node of a partition is its deciding node. */
 export class GreedyFleet {
-	/** When retries were taken and when requests came, in milliseconds. */
+	/** Times of retries and of requests, in milliseconds. */
 	readonly retriesAt: number[] = [];
 	readonly requestsAt: number[] = [];
 	readonly #limits: RetryLimits;
 	readonly #nodes: GreedyNode[];
 	readonly #random = seedrandom('greedy');
 
-	/** Nodes that have run for long when the first step begins. */
+	/** Creates nodes that have run for longer than a window when the first step begins. */
 	constructor(size: number, limits: RetryLimits) {
 		this.#limits = limits;
 		this.#nodes = Array.from({length: size}, (_, index) => new GreedyNode(index, limits, -runLength));
 		for (const node of this.#nodes) {
 			for (const [index, {life}] of this.#nodes.entries()) {
-				node.hear(index, life, -runLength);
+				node.observe(index, life, -runLength);
 			}
 		}
 	}
 
-	/** Plays a run; each node takes a request a step. */
+	/** Runs a simulation; each node receives one request per step. */
 	run(events: FleetEvent[]): this {
 		for (let now = 0; now < runLength; now += stepLength) {
 			for (const event of events) {
@@ -91,8 +91,8 @@
 			}
 
 			const cut = events.find(event => event.kind === 'cut' && event.at <= now && event.until > now);
-			const indexes = [...this.#nodes.keys()].filter(index => this.#nodes[index].findAge(now) >= 0);
-			for (const index of this.#draw(indexes)) {
+			const indexes = [...this.#nodes.keys()].filter(index => this.#nodes[index].computeAge(now) >= 0);
+			for (const index of this.#shuffle(indexes)) {
 				this.#serve(index, indexes.filter(other => cut === undefined || cut.nodes.includes(other) === cut.nodes.includes(index)), now);
 			}
 		}
@@ -100,7 +100,7 @@
 		return this;
 	}
 
-	/** The most retries beyond the budget in any window; below 0 when the budget was never spent. */
+	/** The highest number of retries beyond the budget in any window; negative when the budget was never used up. */
 	measureExcess(): number {
 		const {ratio, slack, window} = this.#limits;
 		const count = (times: number[], end: number) => times.filter(at => at > end - window && at <= end).length;
@@ -108,14 +108,14 @@
 		return Math.max(...ends.map(end => count(this.retriesAt, end) - (ratio * count(this.requestsAt, end)) - slack));
 	}
 
-	/** The nodes in an order drawn anew: none is always the first to ask. */
-	#draw(indexes: number[]): number[] {
+	/** Shuffles the nodes, so that none always asks first. */
+	#shuffle(indexes: number[]): number[] {
 		return indexes.map(index => ({index, order: this.#random()})).sort((left, right) => left.order - right.order).map(({index}) => index);
 	}
 
 	#restart(indexes: number[], now: number): void {
 		for (const index of indexes) {
-			this.#nodes[index] = new GreedyNode(index, this.#limits, now + timeAway);
+			this.#nodes[index] = new GreedyNode(index, this.#limits, now + downtime);
 		}
 	}
 
@@ -123,22 +123,22 @@
 		const node = this.#nodes[index];
 		const decider = this.#nodes[side[0]];
 		for (const other of side) {
-			node.hear(other, this.#nodes[other].life, now);
+			node.observe(other, this.#nodes[other].life, now);
 		}
 
-		if (node.toldLife !== decider.life) {
-			node.toldLife = decider.life;
-			decider.retries.addHistory(node.retries.describeHistory(now, {life: node.life, age: node.findAge(now), known: node.countKnown()}, decider.life), now);
+		if (node.reportedTo !== decider.life) {
+			node.reportedTo = decider.life;
+			decider.retries.addHistory(node.retries.describeHistory(now, {life: node.life, age: node.computeAge(now), known: node.countKnown()}, decider.life), now);
 		}
 
 		this.requestsAt.push(now);
-		decider.retries.recordDecided(now, worth);
-		node.retries.recordOwn(now, worth, decider.life);
-		const reach = decider.describeReach(side, now);
+		decider.retries.recordDecided(now, value);
+		node.retries.recordOwn(now, value, decider.life);
+		const membership = decider.describeMembership(side, now);
 		for (let count = 0; count < retriesPerRequest; count++) {
-			if (decider.retries.grant(now, worth, reach)) {
+			if (decider.retries.grant(now, value, membership)) {
 				node.retries.recordGranted(now, decider.life);
-			} else if (!node.retries.takeFallback(now, worth, node.describeReach(side, now))) {
+			} else if (!node.retries.takeFallback(now, value, node.describeMembership(side, now))) {
 				return;
 			}
 
--- a/test/helpers/pass-fleet.ts
+++ b/test/helpers/pass-fleet.ts
@@ -1,4 +1,4 @@
-/** Gateway nodes before model servers that work in passes by their stated figures, in real time. */
+/** Runs gateway nodes in real time with simulated model servers that work in passes by their declared figures. */
 import {request as sendRequest, type IncomingMessage, type ServerResponse} from 'node:http';
 import type {ServiceName} from '../../src/common/index.js';
 import {PassJob, PassServer} from '../../src/replay/routed/index.js';
@@ -6,11 +6,11 @@
 import {createConfig, GatewayFleet, waitUntil} from './gateways.js';
 import {formatEvent, createAnswerHeaders, type ReceivedRequest} from './platform-standins.js';
 
-/** Objective of the route for long prompts, in milliseconds; their callers bear four times as long. */
+/** Objective of the route for long prompts, in milliseconds; its callers tolerate four times as much silence. */
 export const reviewObjective = 2200;
 export const reviewSilence = 4 * reviewObjective;
 
-/** A configuration with a route for long prompts besides. */
+/** Creates a configuration with an additional route for long prompts. */
 function createReviewConfig(version: number): Record<string, unknown> {
 	const [stream, ...others] = createConfig(version).routes as Array<Record<string, unknown>>;
 	const review = {
@@ -19,42 +19,42 @@
 	return createConfig(version, {routes: [{...stream, timeoutMs: 10_000}, review, ...others]});
 }
 
-/** Figures of the servers, as the configuration of the tests states them. */
+/** Performance figures of the servers, as declared in the test configuration. */
 export const engine = decodeConfig(createConfig(1)).services[0].engine!;
 
-/** Silence after which callers of a stream leave, in milliseconds: what the platform's pages state for its route. */
+/** Silence after which callers of a stream leave, in milliseconds, as the platform specifies it for the route. */
 export const longestSilence = 2000;
 
-/** A stream as its caller saw it. Times in milliseconds, by the process's clock. */
+/** A stream as observed by its caller. Times in milliseconds, by the clock of the process. */
 export type ObservedStream = {
 	id: string;
 	firstAt: number;
 	lastAt: number;
 	longestPause: number;
 	events: number;
-	/** `left` when the caller had heard nothing for as long as it bears. */
+	/** `left` when the caller left after too long a silence. */
 	outcome: 'whole' | 'left' | 'cut';
 };
 
-/** What a caller asks for, and the silence after which it leaves. */
+/** A caller's request, and the silence after which it leaves. */
 export type StreamSpec = {path: string; silence: number; promptTokens: number; events: number};
 
-/** A send of a request to a server. */
-export type SeenSend = {server: number; lastEventId: number; at: number; helpers: number};
+/** One send of a request to a server. */
+export type ObservedSend = {server: number; lastEventId: number; at: number; helpers: number};
 
 let callCount = 0;
 
-/** Nodes and servers. */
+/** Gateway nodes and simulated servers. */
 export class PassFleet {
 	readonly nodes = new GatewayFleet();
 	/** Sends of each request, in order. */
-	readonly sends = new Map<string, SeenSend[]>();
+	readonly sends = new Map<string, ObservedSend[]>();
 	readonly servers: PassServer[] = [];
-	/** When a server fell silent, by the process's clock; it takes connections and says nothing from then on. */
+	/** When a server became silent, by the clock of the process; it accepts connections but sends nothing after that. */
 	readonly #silentSince = new Map<number, number>();
 	readonly #timers = new Set<NodeJS.Timeout>();
 
-	/** Starts nodes, and servers that take `pace` times as long as they are stated to. */
+	/** Starts nodes, and servers that take `pace` times as long as declared. */
 	async start(nodes: number, servers: number, pace: number): Promise<void> {
 		for (let index = 0; index < servers; index++) {
 			const server = new PassServer(engine, (delay, run) => {
@@ -76,7 +76,7 @@
 		await waitUntil(() => this.nodes.gateways.every(gateway => gateway.listReadyNodes().length === nodes));
 	}
 
-	/** Ends everything. */
+	/** Stops everything. */
 	async stop(): Promise<void> {
 		for (const timer of this.#timers) {
 			clearTimeout(timer);
@@ -85,12 +85,12 @@
 		await this.nodes.stop();
 	}
 
-	/** Makes a server silent for good. */
+	/** Makes a server silent permanently. */
 	makeSilent(server: number): void {
 		this.#silentSince.set(server, Date.now());
 	}
 
-	/** A caller's stream at a node; it leaves after the silence that callers of its route bear. */
+	/** Opens a stream at a node; the caller leaves after the silence that its route tolerates. */
 	async stream(id: string, node: number, {path, silence, promptTokens, events}: StreamSpec): Promise<ObservedStream> {
 		const [host, port] = this.nodes.settings[node].listen.callers.split(':');
 		const seen: ObservedStream = {
@@ -101,7 +101,7 @@
 				host, port, path, method: 'POST', headers: describeCall(id, promptTokens, events),
 			}, (response: IncomingMessage) => {
 				response.on('data', chunk => {
-					noteEvents(seen, String(chunk));
+					recordEvents(seen, String(chunk));
 				});
 				response.on('end', () => {
 					finish('whole');
@@ -110,13 +110,13 @@
 					finish('cut');
 				});
 			});
-			const leaving = setInterval(() => {
+			const leaveTimer = setInterval(() => {
 				if (Date.now() - seen.lastAt >= silence) {
 					finish('left');
 				}
 			}, 5);
 			const finish = (outcome: ObservedStream['outcome']) => {
-				clearInterval(leaving);
+				clearInterval(leaveTimer);
 				request.destroy();
 				resolve({...seen, outcome: outcome === 'whole' && seen.events < events ? 'cut' : outcome});
 			};
@@ -206,7 +206,7 @@
 	};
 }
 
-function noteEvents(seen: ObservedStream, text: string): void {
+function recordEvents(seen: ObservedStream, text: string): void {
 	const now = Date.now();
 	const events = text.split('\n').filter(line => line.startsWith('id: ')).length;
 	if (events === 0) {
--- a/test/helpers/planning.ts
+++ b/test/helpers/planning.ts
@@ -1,4 +1,4 @@
-/** A planner and what it is asked, for tests. */
+/** Creates planners and requests for tests. */
 import type {
 	AvailabilityZone, BackendServerId, BackendServerName, BoxId, IdSource, RequestId, ServiceName,
 } from '../../src/common/index.js';
@@ -7,7 +7,7 @@
 } from '../../src/planning/index.js';
 import type {BackendServer, EngineProfile} from '../../src/routing/index.js';
 
-/** Figures of a model server. */
+/** Performance figures of a model server. */
 export const engine: EngineProfile = {
 	slots: 11,
 	memoryTokens: 315_000,
@@ -19,13 +19,13 @@
 	stepsPerPass: 51,
 };
 
-/** Counts plans. */
+/** Creates ids by counting. */
 export function createIds(): IdSource {
 	let count = 0;
 	return {createUuid: () => `plan-${++count}`};
 }
 
-/** So many servers, alike. */
+/** Creates identical servers. */
 export function createServers(count: number): BackendServer[] {
 	return Array.from({length: count}, (_, index) => ({
 		id: `i-${String(index).padStart(3, '0')}` as BackendServerId,
@@ -39,7 +39,7 @@
 	}));
 }
 
-/** A planner with so many servers. */
+/** Creates a planner with identical servers. */
 export function createPlanner(count = 18): Planner {
 	const planner = new Planner({ids: createIds(), engine});
 	planner.setServers(createServers(count), engine);
@@ -48,7 +48,7 @@
 
 let requestCount = 0;
 
-/** A request for a long prompt, with changes. */
+/** Creates a request for a long prompt, with changes. */
 export function createPlanRequest(promptTokens: number, changes: Partial<PlanRequest> = {}): PlanRequest {
 	return {
 		requestId: `r-${++requestCount}` as RequestId,
@@ -66,10 +66,10 @@
 	};
 }
 
-/** What makes it a short one. */
+/** Changes that make it a short request. */
 export const shortOptions = {objective: 300, patience: 10_000, longestPause: 250};
 
-/** The plan of a decision; fails on a wait. */
+/** The plan of a decision; throws on a wait. */
 export function expectPlan(decision: Decision): Plan {
 	if (decision.kind !== 'plan') {
 		throw new Error(`expected a plan, got a wait for ${decision.reason}`);
@@ -78,7 +78,7 @@
 	return decision.plan;
 }
 
-/** Decides and expects a plan. */
+/** Decides for a request and returns its plan; throws on a wait. */
 export function planNow(planner: Planner, request: PlanRequest, now = 0): Plan {
 	return expectPlan(planner.decide(request, now).unsafeCoerce());
 }
--- a/test/limit-grants.test.ts
+++ b/test/limit-grants.test.ts
@@ -1,4 +1,4 @@
-// Nodes that all grant as many requests at a limited server as they may, while the deciding node changes.
+// Nodes that use up their granted shares of a server's limit while the deciding node changes.
 import {expect, test} from '@jest/globals';
 import fc from 'fast-check';
 import {CallWire} from '../platform/index.js';
@@ -9,18 +9,18 @@
 const server = 'i-000' as BackendServerId;
 const nodeCount = 6;
 
-/** Part of the limit that nodes grant together which stand in for the deciding one. */
-const standInShare = 0.3;
+/** Share of the limit that the other nodes grant together as a fallback for the deciding node. */
+const fallbackShare = 0.3;
 
 /** Length of a step and of a window, in milliseconds. */
 const step = 20;
 const windowLength = 4000;
 
-/** A phase: the shares of the limit at which nodes grant, for a time in milliseconds. */
-type Phase = {shares: number[]; lasts: number};
+/** A phase: the share of the limit that each node grants, and its duration in milliseconds. */
+type Phase = {shares: number[]; duration: number};
 
-/** Plays phases; returns when requests were granted. */
-function playPhases(rate: number, phases: Phase[]): number[] {
+/** Runs phases; returns the times of granted requests. */
+function runPhases(rate: number, phases: Phase[]): number[] {
 	const nodes = Array.from({length: nodeCount}, () => new ServerLimits());
 	for (const node of nodes) {
 		node.update({server, requestsPerSecond: rate, age: 0}, 0);
@@ -28,8 +28,8 @@
 
 	const granted: number[] = [];
 	let now = 0;
-	for (const {shares, lasts} of phases) {
-		for (const end = now + lasts; now < end; now += step) {
+	for (const {shares, duration} of phases) {
+		for (const end = now + duration; now < end; now += step) {
 			for (const [index, share] of shares.entries()) {
 				const tokens = share > 0 ? Math.floor(nodes[index].countTokens(server, share, now)) : 0;
 				for (let taken = 0; taken < tokens; taken++) {
@@ -60,18 +60,18 @@
 	return (rate * windowLength / 1000 * 1.5) + 5;
 }
 
-/** One node decides for all. */
+/** Shares when one node decides for all. */
 function decideAlone(decider: number): number[] {
 	return Array.from({length: nodeCount}, (_, index) => index === decider ? 1 : 0);
 }
 
-/** One node decides, and all others stand in for it. */
-function standIn(decider: number): number[] {
-	return Array.from({length: nodeCount}, (_, index) => index === decider ? 1 : standInShare / nodeCount);
+/** Shares when one node decides and all others grant as a fallback. */
+function grantFallback(decider: number): number[] {
+	return Array.from({length: nodeCount}, (_, index) => index === decider ? 1 : fallbackShare / nodeCount);
 }
 
-/** The fleet is cut in two, and each part has a deciding node. */
-function cut(decider: number, part: number): number[] {
+/** Shares when the fleet is partitioned and each part has a deciding node. */
+function partition(decider: number, part: number): number[] {
 	const shares = decideAlone(decider).map(share => share * part / nodeCount);
 	shares[(decider + 1) % nodeCount] = (nodeCount - part) / nodeCount;
 	return shares;
@@ -80,25 +80,25 @@
 const phases = fc.array(fc.record({
 	shares: fc.oneof(
 		fc.nat(nodeCount - 1).map(decider => decideAlone(decider)),
-		fc.nat(nodeCount - 1).map(decider => standIn(decider)),
-		fc.tuple(fc.nat(nodeCount - 1), fc.integer({min: 1, max: nodeCount - 1})).map(([decider, part]) => cut(decider, part)),
+		fc.nat(nodeCount - 1).map(decider => grantFallback(decider)),
+		fc.tuple(fc.nat(nodeCount - 1), fc.integer({min: 1, max: nodeCount - 1})).map(([decider, part]) => partition(decider, part)),
 	),
-	lasts: fc.oneof(fc.integer({min: 1500, max: 8000}), fc.constant(60_000)),
+	duration: fc.oneof(fc.integer({min: 1500, max: 8000}), fc.constant(60_000)),
 }), {minLength: 1, maxLength: 8});
 
-test('grants of all nodes stay within what a limit allows, whoever decides', () => {
+test('grants of all nodes together stay within a limit while the deciding node changes', () => {
 	fc.assert(fc.property(fc.constantFrom(0, 0.1, 0.5, 1, 3, 10, 200), phases, (rate, drawn) => {
-		expect(findBusiest(playPhases(rate, drawn))).toBeLessThanOrEqual(computeAllowed(rate));
+		expect(findBusiest(runPhases(rate, drawn))).toBeLessThanOrEqual(computeAllowed(rate));
 	}), {seed: 46, numRuns: 200});
 });
 
 test.each([0.5, 1, 10, 200])('the deciding node grants at least nine tenths of a limit of %d a second', rate => {
 	const seconds = 20;
-	const granted = playPhases(rate, [{shares: decideAlone(0), lasts: seconds * 1000}]);
+	const granted = runPhases(rate, [{shares: decideAlone(0), duration: seconds * 1000}]);
 	expect(granted.length).toBeGreaterThanOrEqual(rate * seconds * 0.9);
 });
 
-test('an older report does not change a limit, and answers that overtake each other do not lift it', () => {
+test('an older report does not change a limit, and reordered answers do not lift it', () => {
 	const limits = new ServerLimits();
 	expect(limits.update({server, requestsPerSecond: 2, age: 0}, 1000)).toBe(true);
 	expect(limits.update({server, requestsPerSecond: 9, age: 500}, 1200)).toBe(false);
@@ -109,7 +109,7 @@
 	expect(limits.update({server, requestsPerSecond: 2, age: 700}, 1700)).toBe(false);
 });
 
-test('a rejected request is asked to return when there is room, and those after it later', () => {
+test('rejected requests get increasing retry delays, the first one until a token is free', () => {
 	const planner = createPlanner(1);
 	planner.limits.update({server, requestsPerSecond: 2, age: 0}, 0);
 	const decide = (patience: number) => planner.decide(createPlanRequest(500, {...shortOptions, patience}), 0);
@@ -118,7 +118,7 @@
 	expect(returns).toEqual([1, 1.5, 2]);
 });
 
-test('a request that waits longer is sent before one that has just come', () => {
+test('a request that has waited longer is sent before a new one', () => {
 	const planner = createPlanner(1);
 	planner.limits.update({server, requestsPerSecond: 1, age: 0}, 0);
 	const first = createPlanRequest(500, {...shortOptions, patience: 8000});
@@ -139,10 +139,10 @@
 	['none', undefined],
 	['1, 2', undefined],
 	['Infinity', undefined],
-])('reads a server limit of "%s" as %p', (text, rate) => {
+])('parses a server limit of "%s" as %p', (text, rate) => {
 	expect(new CallWire().readResponseHead(200, {'server-limit': text}).requestLimit).toBe(rate);
 });
 
-test('an answer of another server at the address names no limit', () => {
+test('an answer of another server at the same address declares no limit', () => {
 	expect(new CallWire().readResponseHead(421, {'server-limit': '2'}).requestLimit).toBeUndefined();
 });
--- a/test/planned-pauses.test.ts
+++ b/test/planned-pauses.test.ts
@@ -1,10 +1,9 @@
 /*
-A day without any fault lost up to 25 callers, and on an earlier program broke off streams that no server had failed.
-The planner gave a prompt of 397,716 tokens to eight servers at which fourteen streams were written, and knew that
-they would hear nothing for 2,209 ms (`placed`, `expectedFirst`); their callers leave after 2,000. The nodes took that
-for a fault after 1,300 ms, all within 90 ms (`retry`, "the server was silent for 1300 ms"), and what found no place was
-broken off (`refused`, "it would be 181 ms too late", then `call_ended`, `backend_unconfirmed`, 7 ms later).
-Reads of more than two seconds took 10 in 100 longer than predicted at the median and 26 in 100 at p90.
+Guards against prefills that pause decoding streams for longer than their callers or nodes tolerate. A prompt of 397,716 tokens was planned
+on eight servers with fourteen streams, which were expected to be silent for 2,209 ms (`placed`, `expectedFirst`); their callers leave after
+2,000 ms. Nodes took the silence for a fault after 1,300 ms, all within 90 ms (`retry`, "the server was silent for 1300 ms"), and streams
+without another place were aborted (`refused`, 181 ms too late, then `call_ended`, `backend_unconfirmed`, 7 ms later); a day without faults
+lost up to 25 callers. Prefills of more than two seconds took 10 in 100 longer than predicted at the median and 26 in 100 at p90.
 */
 import {
 	afterEach, beforeEach, expect, test,
@@ -27,18 +26,18 @@
 /** Silence after which nodes move a stream, in milliseconds. */
 const moveSilence = moveSilenceShare * longestSilence;
 
-/** A prompt that six servers read in 1.9 s. */
-const giantTokens = 322_000;
+/** A prompt that six servers prefill in 1.9 s. */
+const largePromptTokens = 322_000;
 
-/** How much longer than predicted reads take in the worst tenth, as a share: what a planner assumes that has seen none. */
+/** Overrun that a planner assumes without any observed prefills, as a share of the prediction. */
 const assumedOverrun = 0.15;
 
-/** A stream whose callers bear two seconds of silence. */
+/** Creates a request for a stream whose caller tolerates two seconds of silence. */
 function askStream(promptTokens: number): PlanRequest {
 	return createPlanRequest(promptTokens, {...shortOptions, patience: longestSilence, longestSilence: moveSilence});
 }
 
-/** Writers of a planner's servers, counted from its plans. */
+/** Counts the decoding requests of each server from the plans. */
 function countWriters(plans: Plan[]): Map<BackendServerId, number> {
 	const counts = new Map<BackendServerId, number>();
 	for (const {server} of plans) {
@@ -48,7 +47,7 @@
 	return counts;
 }
 
-test('a read that lasts a tenth longer than its doubt makes no writer silent until nodes move it', () => {
+test('a prefill within its assumed overrun pauses no stream until it is moved', () => {
 	const [tokens, servers, streams, prompt] = [[30_000, 600_000], [2, 20], [1, 60], [100, 20_000]].map(([min, max]) => fc.integer({min, max}));
 	fc.assert(fc.property(tokens, servers, streams, prompt, (tokens, servers, streams, prompt) => {
 		const planner = createPlanner(servers);
@@ -70,19 +69,19 @@
 	}), {seed: 11, numRuns: 300});
 });
 
-test('a prompt that would make all writers silent for too long is read once they have ended', () => {
+test('a prompt that would pause all streams for too long is placed once they have ended', () => {
 	const planner = createPlanner(6);
 	const plans = Array.from({length: 40}, () => planNow(planner, askStream(100)));
-	const giant = createPlanRequest(giantTokens, {objective: 2200});
-	expect(planner.decide(giant, 500).unsafeCoerce().kind).toBe('wait');
+	const largePrompt = createPlanRequest(largePromptTokens, {objective: 2200});
+	expect(planner.decide(largePrompt, 500).unsafeCoerce().kind).toBe('wait');
 	for (const {planId} of plans) {
 		planner.recordEvent({planId, kind: 'ended'}, 2000);
 	}
 
-	expect(planner.decide({...giant, waited: 1500, objective: 700}, 2000).unsafeCoerce().kind).toBe('plan');
+	expect(planner.decide({...largePrompt, waited: 1500, objective: 700}, 2000).unsafeCoerce().kind).toBe('plan');
 });
 
-test('a planner learns from its reads how far its predictions are off', () => {
+test('a planner estimates the overrun of its predictions from observed prefills', () => {
 	const decideAfter = (overrun: number) => {
 		const planner = createPlanner(2);
 		let now = 0;
@@ -100,36 +99,36 @@
 		return planner.decide(createPlanRequest(125_000), now + 300).unsafeCoerce().kind;
 	};
 
-	// Two servers read 125,000 tokens in 1,071 ms besides a pass of some 50: within 1,300 with a twentieth more, beyond with three tenths.
+	// Two servers prefill 125,000 tokens in 1,071 ms plus a pass of about 50 ms: within 1,300 ms with a twentieth more, beyond it with three tenths.
 	expect([decideAfter(0.05), decideAfter(0.3)]).toEqual(['plan', 'wait']);
 });
 
-/** Streams that write when a giant comes, and the giant, over six servers. */
-function describeRead(): {workload: Workload; day: DrawnDay} {
+/** Creates a workload of decoding streams on six servers, and a large prompt that arrives meanwhile. */
+function createWorkload(): {workload: Workload; day: DrawnDay} {
 	const quick = workloads.find(({name}) => name === 'quick')!;
 	const [chat, , review] = quick.flows;
 	const streams = Array.from({length: 40}, (_, index) => ({
 		at: index * 20, flow: chat, promptTokens: 100, events: 60,
 	}));
-	const giant = {
-		at: 1000, flow: {...review, objective: 2200}, promptTokens: giantTokens, events: 5,
+	const largePrompt = {
+		at: 1000, flow: {...review, objective: 2200}, promptTokens: largePromptTokens, events: 5,
 	};
-	return {workload: {...quick, servers: 6}, day: {requests: [...streams, giant], losses: [], length: 5000}};
+	return {workload: {...quick, servers: 6}, day: {requests: [...streams, largePrompt], losses: [], length: 5000}};
 }
 
 for (const overrun of [5, 15, 30]) {
-	test(`no stream is moved or left beside a read that lasts ${overrun} in 100 longer than predicted, in the replay`, () => {
-		const {workload, day} = describeRead();
+	test(`no stream is moved and no caller leaves during a prefill that takes ${overrun} in 100 longer than predicted, in the replay`, () => {
+		const {workload, day} = createWorkload();
 		const records = replayRouted({...workload, pace: 1 + (overrun / 100)}, day);
 		expect(records).toHaveLength(day.requests.length);
 		expect(records.filter(({outcome, sends}) => outcome !== 'whole' || sends > 1)).toEqual([]);
 	});
 }
 
-/** For tests that play some seconds in real time over real sockets. */
+/** Timeout in milliseconds of tests that run for some seconds in real time over real sockets. */
 const fleetLimit = 30_000;
 
-/** Nodes, servers and streams of the tests with real nodes. */
+/** Numbers of nodes, servers and streams in the tests with real nodes. */
 const nodeCount = 3;
 const serverCount = 6;
 const streamCount = 40;
@@ -144,7 +143,7 @@
 	await fleet.stop();
 });
 
-/** Streams over all nodes, of so many events. */
+/** Starts streams over all nodes, each with this number of events. */
 function startStreams(count: number, events: number): Array<Promise<ObservedStream>> {
 	return Array.from({length: count}, async (_, index) => fleet.stream(`stream-${index}`, index % nodeCount, {
 		path: '/stream/', silence: longestSilence, promptTokens: 100, events,
@@ -167,23 +166,23 @@
 	});
 }
 
-async function expectNobodyLeft(overrun: number): Promise<void> {
+async function expectNoCallerLeaves(overrun: number): Promise<void> {
 	await fleet.start(nodeCount, serverCount, 1 + (overrun / 100));
 	const streams = startStreams(streamCount, 50);
 	await sleep(800);
-	const review = startReview(giantTokens);
+	const review = startReview(largePromptTokens);
 	const seen = await Promise.all([...streams, review]);
-	// What was sent of one that is not whole tells who placed it, and where.
+	// The sends of an incomplete stream show which node placed it, and where.
 	expect(seen.filter(({outcome}) => outcome !== 'whole').map(stream => ({...stream, sends: fleet.sends.get(stream.id)}))).toEqual([]);
 	expect(countMoves()).toBe(0);
 	expect(fleet.sends.get('review')).toHaveLength(1);
 }
 
 for (const overrun of [5, 15, 30]) {
-	test(`nodes move no stream and no caller leaves beside a read that lasts ${overrun} in 100 longer than predicted`, async () => expectNobodyLeft(overrun), fleetLimit);
+	test(`nodes move no stream and no caller leaves during a prefill that takes ${overrun} in 100 longer than predicted`, async () => expectNoCallerLeaves(overrun), fleetLimit);
 }
 
-test('a server that falls silent within a read is left as soon as without one', async () => {
+test('streams leave a server that falls silent during a prefill as soon as without one', async () => {
 	await fleet.start(nodeCount, serverCount, 1);
 	const streams = startStreams(10, 40);
 	await sleep(500);
--- a/test/planning.test.ts
+++ b/test/planning.test.ts
@@ -10,20 +10,20 @@
 	createPlanRequest, createIds, createPlanner, createServers, engine, planNow, shortOptions,
 } from './helpers/planning.js';
 
-test('a read grows with the square of its prompt and is divided evenly', () => {
+test('prefill time grows with the square of the prompt and is divided evenly', () => {
 	expect(computePrefillTime(engine, 154_000)).toBeCloseTo(3052, 0);
 	expect(computePrefillTime(engine, 154_000, 4)).toBeCloseTo(763, 0);
 	expect(computePassTime(engine, 0, 0)).toBeCloseTo(43.35, 2);
 });
 
-test('a long prompt is read by as many servers as its objective needs', () => {
+test('a long prompt is prefilled by as many servers as its objective needs', () => {
 	const plan = planNow(createPlanner(), createPlanRequest(154_000));
 	expect(plan.helpers.length).toBeGreaterThanOrEqual(3);
 	expect(plan.expectedFirst).toBeLessThan(3000 * 0.25);
 	expect(plan.startIn).toBe(0);
 });
 
-test('short prompts keep off the servers where long ones are read, as long as they are read sooner elsewhere', () => {
+test('short prompts avoid the servers that prefill long ones while others are faster', () => {
 	const planner = createPlanner();
 	const long = planNow(planner, createPlanRequest(154_000));
 	const readers = new Set([long.server, ...long.helpers.map(helper => helper.server)]);
@@ -35,7 +35,7 @@
 	}
 });
 
-test('a second long prompt waits in line rather than being planned far ahead', () => {
+test('a second long prompt waits in the queue instead of being planned far ahead', () => {
 	const planner = createPlanner(4);
 	planNow(planner, createPlanRequest(154_000));
 	const decision = planner.decide(createPlanRequest(154_000), 1).unsafeCoerce();
@@ -44,25 +44,25 @@
 	expect(planner.decide(later, 4000).unsafeCoerce().kind).toBe('plan');
 });
 
-test('a prompt above one server\'s memory sets the rest aside on its helpers', () => {
+test('a prompt larger than one server\'s memory reserves the rest on its helpers', () => {
 	const plan = planNow(createPlanner(), createPlanRequest(500_000));
 	const held = plan.helpers.reduce((sum, helper) => sum + helper.heldTokens, 0);
 	expect(plan.ownTokens).toBeLessThanOrEqual(315_000);
 	expect(plan.ownTokens + held).toBeGreaterThanOrEqual(501_600);
 });
 
-test('a prompt that cannot be read in its time is refused at once with a time to come back', () => {
+test('a prompt that cannot be prefilled in time is rejected at once with a retry delay', () => {
 	const failure = createPlanner(1).decide(createPlanRequest(300_000, {objective: 2000, patience: 2000}), 0).swap().unsafeCoerce();
 	expect(failure.kind).toBe('overloaded');
 	expect(failure.retryAfterSeconds).toBeGreaterThan(0);
 });
 
-test('no server means a refusal at once', () => {
+test('a request is rejected at once without any server', () => {
 	const failure = createPlanner(0).decide(createPlanRequest(5000, shortOptions), 0).swap().unsafeCoerce();
 	expect(failure.kind).toBe('no_backend_server');
 });
 
-test('of servers that are alike one in the zone of the node is taken, and a better one elsewhere all the same', () => {
+test('of equal servers one in the zone of the node is used, and a better one in another zone nevertheless', () => {
 	const planner = createPlanner(0);
 	const zones = ['a', 'b', 'c'] as AvailabilityZone[];
 	planner.setServers(createServers(9).map((server, index) => ({...server, availabilityZone: zones[index % zones.length]})), engine);
@@ -84,7 +84,7 @@
 	}
 });
 
-test('a server that was not reached is left alone for a while and then tried again', () => {
+test('an unreachable server is put in backoff and then tried again', () => {
 	const planner = createPlanner(2);
 	const plan = planNow(planner, createPlanRequest(5000, shortOptions));
 	planner.recordEvent({
@@ -97,7 +97,7 @@
 	expect(later).toContain(plan.server);
 });
 
-test('a server that is silent while it reads a long prompt is not left alone for it, one that had none is', () => {
+test('a server that is silent during a long prefill is not put in backoff, a silent one without a prefill is', () => {
 	const planner = createPlanner(2);
 	const long = planNow(planner, createPlanRequest(200_000, {requestId: 'long' as RequestId}));
 	planner.recordEvent({
@@ -112,7 +112,7 @@
 	expect(servers(20_100).has(long.server)).toBe(false);
 });
 
-test('an objective counts from the first try of a caller that says that it waits less than others do', () => {
+test('an objective counts from the first try of a caller that declares a shorter wait than others', () => {
 	const planner = createPlanner();
 	const fresh = {...shortOptions, route: 'chat', callerWaits: 10_000};
 	for (let index = 0; index < 5; index++) {
@@ -124,7 +124,7 @@
 	expect(planNow(planner, createPlanRequest(2000, {...fresh, route: 'other', callerWaits: 8500})).request.objective).toBe(300);
 });
 
-test('a caller that waits longer than others does not make theirs look like second tries', () => {
+test('a caller that waits longer than others does not make their calls look like retries', () => {
 	const planner = createPlanner();
 	for (let index = 0; index < 30; index++) {
 		const callerWaits = index % 15 === 0 ? 30_000 : 10_000;
@@ -134,10 +134,10 @@
 });
 
 /*
-A third of the callers that said they wait for 1e9 ms made all others of their route count as having tried for that long: their
-objectives had passed, and they gave way to others at their servers. The wait taken for a first try was a quantile of all.
+A third of the callers of a route declared a wait of 1e9 ms, and the reference was a quantile of all declared waits: the other callers
+looked like retries of calls made that long ago, and their late objectives gave other requests precedence.
 */
-test('callers that say they wait for ever change nothing for others of their route', () => {
+test('callers that declare unbounded waits do not affect others of their route', () => {
 	const planner = createPlanner();
 	const objectives = Array.from({length: 120}, (_, index) => {
 		const callerWaits = index % 3 === 0 ? 1e9 + index : 10_000 - (index % 20);
@@ -147,7 +147,7 @@
 	expect(planNow(planner, createPlanRequest(2000, {...shortOptions, route: 'chat', callerWaits: 8500}), 12_100).request.objective).toBe(300 - 1500);
 });
 
-test('a server that failed is not preferred for a request whose objective has passed', () => {
+test('a failed server is not preferred for a request whose objective has passed', () => {
 	const planner = createPlanner(4);
 	const plan = planNow(planner, createPlanRequest(5000, shortOptions));
 	planner.recordEvent({
@@ -159,7 +159,7 @@
 	expect(late.expectedFirst).toBeGreaterThan(0);
 });
 
-test('one failed answer takes nobody out, many do while others are better', () => {
+test('one failed answer does not make a server unreliable, several do until it recovers', () => {
 	const health = new ServerHealth();
 	expect(health.recordFailure('spoiled', 0)).toBe(false);
 	expect([health.isBackingOff(1), health.isUnreliable(1)]).toEqual([false, false]);
@@ -175,7 +175,7 @@
 	expect(health.isUnreliable(4)).toBe(false);
 });
 
-test('a server that stays silent is left alone longer each time, to a bound', () => {
+test('the backoff of a server that stays silent grows to a maximum', () => {
 	const health = new ServerHealth();
 	let now = 0;
 	const rests = Array.from({length: 6}, () => {
@@ -190,7 +190,7 @@
 	expect(rests).toEqual([1000, 2000, 4000, 8000, 8000, 8000]);
 });
 
-test('plans that their node does not carry out are forgotten, young ones are not', () => {
+test('plans that their node does not run are released unless they are recent', () => {
 	const planner = createPlanner();
 	const kept = planNow(planner, createPlanRequest(5000, shortOptions), 0);
 	planNow(planner, createPlanRequest(5000, shortOptions), 0);
@@ -199,7 +199,7 @@
 	expect(planner.planCount).toBe(2);
 });
 
-test('the plans of a dead node are forgotten, and those whose time is over', () => {
+test('the plans of a failed node and expired plans are released', () => {
 	const planner = createPlanner();
 	planNow(planner, createPlanRequest(5000, {...shortOptions, node: 'edge-2' as BoxId}), 0);
 	planNow(planner, createPlanRequest(5000, {...shortOptions, patience: 500}), 0);
@@ -209,41 +209,41 @@
 	expect(planner.planCount).toBe(0);
 });
 
-test('a new life of a server begins with no plans and no memory held, and what is told of the old one does not touch it', () => {
+test('a restarted server starts without plans or occupied memory, and events of its previous process do not affect it', () => {
 	const planner = createPlanner(1);
 	const [old, other] = createServers(2);
 	const excluded = [other.id];
-	const patient = {
+	const patientOptions = {
 		objective: 30_000, patience: 60_000, longestPause: 30_000, excluded,
 	};
-	const waiting = createPlanRequest(270_000, patient);
-	const long = planNow(planner, createPlanRequest(270_000, patient));
+	const waiting = createPlanRequest(270_000, patientOptions);
+	const long = planNow(planner, createPlanRequest(270_000, patientOptions));
 	expect(planner.decide(waiting, 20_000).unsafeCoerce()).toMatchObject({kind: 'wait', reason: 'memory'});
 	planner.recordEvent({
 		planId: long.planId, kind: 'failed', server: old.id, trouble: 'unreached',
 	}, 20_000);
-	const born = {...old, id: `${old.name}@2` as BackendServerId, entryRevision: 2};
-	planner.setServers([born, other], engine);
+	const restarted = {...old, id: `${old.name}@2` as BackendServerId, entryRevision: 2};
+	planner.setServers([restarted, other], engine);
 	const next = planNow(planner, {...waiting, waited: 1}, 20_001);
-	expect([next.server, next.startIn]).toEqual([born.id, 0]);
+	expect([next.server, next.startIn]).toEqual([restarted.id, 0]);
 	planner.recordEvent({
 		planId: long.planId, kind: 'failed', server: old.id, trouble: 'silent',
 	}, 20_002);
 	planner.recordEvent({planId: long.planId, kind: 'ended'}, 20_002);
 	expect(planner.planCount).toBe(1);
-	expect(planner.decide(createPlanRequest(270_000, patient), 40_000).unsafeCoerce()).toMatchObject({kind: 'wait', reason: 'memory'});
+	expect(planner.decide(createPlanRequest(270_000, patientOptions), 40_000).unsafeCoerce()).toMatchObject({kind: 'wait', reason: 'memory'});
 });
 
-// A server whose entry somebody else overwrites takes no new work until its own entry is back, and what it runs goes on.
-// Its planner began with an empty board then: a prompt was planned into memory that another one held, the server
-// refused to set it aside, and writers there were not counted. The same after a takeover while it was out. Found by
-// the model run of the planner, shrunk to five steps.
-test('a server that takes new work again still holds what it held, whoever decides now', () => {
+// A server whose entry is overwritten by another writer accepts no new work until its own entry is back, while its plans continue.
+// The planner used to start with an empty load then: a prompt was planned into memory that another prompt occupied, the server
+// refused to reserve it, and decoding requests there were not counted. The same happened after a takeover in the meantime. Found by
+// the model-based test of the planner, reduced to five steps.
+test('a server that accepts new work again keeps its occupied memory, also after a takeover', () => {
 	const servers = createServers(2);
 	const first = createPlanner(1);
-	const patient = {objective: 30_000, patience: 60_000, longestPause: 30_000};
-	const long = planNow(first, createPlanRequest(270_000, patient));
-	const wantsRoom = () => createPlanRequest(200_000, patient);
+	const patientOptions = {objective: 30_000, patience: 60_000, longestPause: 30_000};
+	const long = planNow(first, createPlanRequest(270_000, patientOptions));
+	const createLargeRequest = () => createPlanRequest(200_000, patientOptions);
 	const second = new Planner({ids: createIds(), engine});
 	second.setServers(servers.slice(1), engine);
 	second.adopt([long], 0);
@@ -251,16 +251,16 @@
 	first.recordEvent({planId: long.planId, kind: 'started'}, 3000);
 	for (const planner of [first, second]) {
 		planner.setServers(servers.slice(0, 1), engine);
-		const decided = planner.decide(wantsRoom(), 20_000).unsafeCoerce();
+		const decided = planner.decide(createLargeRequest(), 20_000).unsafeCoerce();
 		expect(decided).toMatchObject({kind: 'wait', reason: 'memory'});
 		planner.recordEvent({planId: long.planId, kind: 'ended'}, 20_000);
-		expect(planner.decide(wantsRoom(), 20_000).unsafeCoerce().kind).toBe('plan');
+		expect(planner.decide(createLargeRequest(), 20_000).unsafeCoerce().kind).toBe('plan');
 	}
 });
 
 const tokensArbitrary = fc.oneof(fc.integer({min: 100, max: 24_000}), fc.integer({min: 24_000, max: 700_000}));
 
-test('whatever is asked for, the memory that plans hold on a server never passes what it has', () => {
+test('the memory that plans occupy on a server never exceeds its capacity', () => {
 	fc.assert(fc.property(fc.array(tokensArbitrary, {maxLength: 60}), fc.integer({min: 1, max: 18}), (prompts, count) => {
 		const planner = createPlanner(count);
 		const held = new Map<BackendServerId, number>();
@@ -280,7 +280,7 @@
 	}), {seed: 7, numRuns: 150});
 });
 
-test('when every plan has ended, a planner decides as a new one does', () => {
+test('a planner whose plans have all ended decides like a new one', () => {
 	fc.assert(fc.property(fc.array(tokensArbitrary, {maxLength: 40}), prompts => {
 		const used = createPlanner();
 		const plans: PlanId[] = [];
@@ -304,7 +304,7 @@
 	}), {seed: 7, numRuns: 100});
 });
 
-test('a pause shorter than all before does not leave short requests counted for ever', () => {
+test('a pause shorter than all before does not leave short requests counted permanently', () => {
 	const planner = createPlanner();
 	const first = planNow(planner, createPlanRequest(20_000, shortOptions));
 	const second = planNow(planner, createPlanRequest(20_000, {...shortOptions, longestPause: 60}));
@@ -319,7 +319,7 @@
 	expect(later.server).toBeDefined();
 });
 
-test('the same asks give the same decisions', () => {
+test('the same requests give the same decisions', () => {
 	fc.assert(fc.property(fc.array(tokensArbitrary, {maxLength: 30}), prompts => {
 		const [left, right] = [createPlanner(), createPlanner()];
 		return prompts.every((tokens, index) => {
@@ -330,9 +330,9 @@
 	}), {seed: 7, numRuns: 100});
 });
 
-// When all connections to a server had fallen silent, each request that waited on one of them counted as trouble of its
-// own: three made the server doubtful, and it was sent nothing more while another one was trusted.
-test('requests that found a server silent together cost it one rest, not its trust', () => {
+// When all connections to a server fell silent, each request waiting on one of them counted as a separate failure:
+// three made the server unreliable, and it got no more requests while another server was available.
+test('requests that find a server silent at the same time cause one backoff and do not make it unreliable', () => {
 	const health = new ServerHealth();
 	for (let index = 0; index < 8; index++) {
 		health.recordFailure('silent', index);
@@ -341,7 +341,7 @@
 	expect([health.isBackingOff(500), health.isBackingOff(1500), health.isUnreliable(1500)]).toEqual([true, false, false]);
 });
 
-test('a server that is silent after each of its rests is doubted', () => {
+test('a server that is silent after each backoff becomes unreliable', () => {
 	const health = new ServerHealth();
 	for (const now of [0, 1500, 4000]) {
 		health.recordFailure('silent', now);
@@ -350,11 +350,11 @@
 	expect(health.isUnreliable(4000)).toBe(true);
 });
 
-/** How long a request runs on the played servers, in milliseconds: some thirty run at once, on places for thirty-three. */
-const runsFor = 1500;
+/** How long a request runs on the simulated servers, in milliseconds: about thirty run at once, on thirty-three slots. */
+const runDuration = 1500;
 
-/** Three servers, of which one fails every request until `wellFrom`, under load for so many milliseconds; when it was given requests. */
-function playFailing(wellFrom: number, length: number): number[] {
+/** Simulates three servers under load for `length` milliseconds, one of which fails every request until `recoversAt`; returns when it was given requests. */
+function simulateFailing(recoversAt: number, length: number): number[] {
 	const planner = createPlanner(3);
 	const [bad] = createServers(1);
 	const tried: number[] = [];
@@ -365,7 +365,7 @@
 		}
 
 		const plan = planNow(planner, createPlanRequest(2000, shortOptions), now);
-		const isFailed = plan.server === bad.id && now < wellFrom;
+		const isFailed = plan.server === bad.id && now < recoversAt;
 		if (plan.server === bad.id) {
 			tried.push(now);
 		}
@@ -377,7 +377,7 @@
 			planner.recordEvent({planId: plan.planId, kind: 'ended'}, now + 30);
 		} else {
 			planner.recordEvent({planId: plan.planId, kind: 'started'}, now + 30);
-			running.push({plan, endsAt: now + runsFor});
+			running.push({plan, endsAt: now + runDuration});
 		}
 	}
 
@@ -385,18 +385,17 @@
 }
 
 /*
-A server whose answers were really spoiled for a second got no work again while another one was trusted, however long it
-had been well: its share of spoiled answers changed with its answers only, and it was given none (`isDoubtful` in the
-status, `spoiled: 0.83` a minute later).
+A server that failed for a second never got work again while another server was available, however long it had been healthy: its failure
+share changed only with its answers, and it was sent no requests (`isDoubtful` in the status, `spoiled: 0.83` a minute later).
 */
-test('a server that failed requests and is well again gets work within half a minute', () => {
-	const tried = playFailing(4000, 60_000);
+test('a recovered server gets work within half a minute', () => {
+	const tried = simulateFailing(4000, 60_000);
 	expect(tried.find(at => at >= 4000)).toBeLessThan(34_000);
 	expect(tried.filter(at => at > 45_000).length).toBeGreaterThan(20);
 });
 
-test('a server that fails every request is tried with few, fewer as it goes on failing', () => {
-	const tried = playFailing(Infinity, 120_000);
+test('a server that fails every request is tried with few requests, and less often over time', () => {
+	const tried = simulateFailing(Infinity, 120_000);
 	const count = (from: number, to: number) => tried.filter(at => at >= from && at < to).length;
 	expect(count(0, 30_000)).toBeLessThan(20);
 	expect(count(30_000, 120_000)).toBeGreaterThan(0);
