--- a/src/gateway/scheduling/decision-log.ts
+++ b/src/gateway/scheduling/decision-log.ts
@@ -1,20 +1,20 @@
-/** Writes down what was decided for a request, and from what. */
+/** Logs scheduling decisions and their inputs. */
 import type {Either} from 'purify-ts';
 import type {Failure, Logger} from '../../common/index.js';
 import type {Decision, OverrunReport, PlanRequest} from '../../planning/index.js';
 
-/** What a decision was made from, besides the request. */
+/** Inputs of a decision besides the request. */
 export type DecisionInputs = {
-	/** Plans in progress. */
+	/** Number of plans in progress. */
 	inProgress: number;
 	configVersion: number;
 	serversRevision: number;
-	/** Nodes whose plans this one sees, and those that it knows of. */
+	/** Number of nodes whose plans this node sees, and number of known nodes. */
 	seen: number;
 	known: number;
 };
 
-/** Logs a place, a wait or a refusal. */
+/** Logs a placement, a wait or a refusal. */
 export function logDecision(logger: Logger, request: PlanRequest, decided: Either<Failure, Decision>, inputs: DecisionInputs): void {
 	const fields = {
 		request: request.requestId,
@@ -32,15 +32,15 @@
 		Left(failure) {
 			logger.info({
 				event: 'refused', ...fields, kind: failure.kind, reason: failure.message,
-			}, 'no place for a request');
+			}, 'refused a request');
 		},
 		Right(decision) {
 			if (decision.kind === 'wait') {
-				// A request that waits asks several times a second: its first wait is worth a line at the usual level.
+				// A waiting request asks several times a second: only its first wait is logged at level info.
 				const level = request.waited === 0 ? 'info' : 'debug';
 				logger[level]({
 					event: 'waits', ...fields, reason: decision.reason, askAgainIn: Math.round(decision.askAgainIn),
-				}, 'a long prompt waits for its turn');
+				}, 'a long prompt waits to be read');
 				return;
 			}
 
@@ -56,13 +56,13 @@
 				expectedFirst: Math.round(plan.expectedFirst),
 				plannedPause: plan.pause === undefined ? undefined : Math.round(plan.pause.length),
 				bearablePause: plan.pause === undefined ? undefined : Math.round(plan.pause.bearable),
-			}, 'a request has its place');
+			}, 'placed a request');
 		},
 	});
 }
 
-/** Logs a read that took longer than was planned with: those who write at its servers were silent for longer, too. */
-export function logReadOverrun(logger: Logger, {plan, predicted, took, allowedOverrun: overrun}: OverrunReport): void {
+/** Logs a prompt read that exceeded its planned time: it also paused the streams on its servers for longer. */
+export function logReadOverrun(logger: Logger, {plan, predicted, took, allowedOverrun}: OverrunReport): void {
 	logger.info({
 		event: 'read_overran',
 		request: plan.request.requestId,
@@ -72,6 +72,6 @@
 		helpers: plan.helpers.length,
 		predicted: Math.round(predicted),
 		took: Math.round(took),
-		allowedOverrun: Math.round(overrun * 100) / 100,
-	}, 'a long prompt was read for longer than was planned with');
+		allowedOverrun: Math.round(allowedOverrun * 100) / 100,
+	}, 'reading a long prompt took longer than planned');
 }
--- a/src/gateway/scheduling/distributed-retry-budget.ts
+++ b/src/gateway/scheduling/distributed-retry-budget.ts
@@ -1,4 +1,4 @@
-/** The fleet's budget of retries, as one node takes part in it: asks the deciding node, grants for others, and remembers. */
+/** Retry budget of the fleet: requests retries from the scheduling node and grants them when this node is it. */
 import type {Clock, Logger, ServiceName} from '../../common/index.js';
 import {
 	computeValue, FleetRetryBudget, type FleetMembership, type PlanRequest, type RetryAllowance, type RetryHistory, type RetryLimits, type RetryRequest,
@@ -8,26 +8,26 @@
 import type {Peers} from '../peers/peers.js';
 import type {SchedulerSelector} from './scheduler-selector.js';
 
-/** What a node's part in the budget needs. */
+/** Dependencies of the retry budget. */
 export type DistributedRetryBudgetParts = {
 	clock: Clock;
 	logger: Logger;
 	peers: Peers;
 	clients: PeerClients;
 	schedulers: SchedulerSelector;
-	/** The fleet's budget of retries for each service. */
+	/** Retry budget of the fleet for each service. */
 	limits: RetryLimits;
-	/** Nodes that the settings tell of, this one among them: those that a node knows which has just started and hears nobody. */
+	/** Number of nodes named in the settings, including this one: the fleet size to assume before heartbeats arrive. */
 	countConfigured: () => number;
-	/** Time for an answer of the deciding node, in milliseconds. */
+	/** Timeout for a response of the scheduling node, in milliseconds. */
 	decisionTimeout: number;
 	self: () => Peer;
 };
 
-/** A service's budget of retries: requests and retries of the window, the part of the fleet whose memory of it is known, and what is left. */
+/** Retry budget of a service: requests and retries in the window, share of the fleet whose history is known (0 to 1), and retries left. */
 export type RetryBudget = {requests: number; retries: number; memory: number; left: number};
 
-/** Retries of all services. */
+/** Retry budgets of all services. */
 export class DistributedRetryBudget {
 	readonly #parts: DistributedRetryBudgetParts;
 	readonly #services = new Map<ServiceName, FleetRetryBudget>();
@@ -40,7 +40,7 @@
 		this.#startedAt = parts.clock.readMonotonic();
 	}
 
-	/** Changes how much is allowed, for all services. */
+	/** Changes the budgets of all services. */
 	setAllowed(allowed: RetryAllowance): void {
 		this.#limits = {...this.#limits, ...allowed};
 		for (const retries of this.#services.values()) {
@@ -48,17 +48,17 @@
 		}
 	}
 
-	/** Notes a request of this node, whoever decides it. */
+	/** Records a request received by this node, whichever node schedules it. */
 	recordOwn({service, promptTokens}: PlanRequest): void {
 		this.#find(service).recordOwn(this.#now, computeValue(promptTokens), this.#parts.schedulers.select(service).life);
 	}
 
-	/** Notes a request of any node that this one decides. */
+	/** Records a request of any node that this node schedules. */
 	recordDecided({service, promptTokens}: PlanRequest): void {
 		this.#find(service).recordDecided(this.#now, computeValue(promptTokens));
 	}
 
-	/** Takes one retry out of the fleet's budget, or out of this node's own small part; false when none is left. */
+	/** Takes one retry from the fleet's budget, or else from this node's small local one; false when both are used up. */
 	async take(request: RetryRequest): Promise<boolean> {
 		const scheduler = this.#parts.schedulers.select(request.service);
 		const retries = this.#find(request.service);
@@ -68,37 +68,37 @@
 			return true;
 		}
 
-		return retries.takeFallback(this.#now, computeValue(request.promptTokens), this.#readReach());
+		return retries.takeFallback(this.#now, computeValue(request.promptTokens), this.#describeMembership());
 	}
 
-	/** Grants a retry out of the fleet's budget to a node that asked. */
+	/** Grants or denies a retry from the fleet's budget, as scheduling node. */
 	grant(request: RetryRequest): boolean {
 		const retries = this.#find(request.service);
 		const now = this.#now;
-		const reach = this.#readReach();
-		const isGranted = retries.grant(now, computeValue(request.promptTokens), reach);
+		const membership = this.#describeMembership();
+		const isGranted = retries.grant(now, computeValue(request.promptTokens), membership);
 		if (!isGranted) {
-			const {requests, retries: spent, memory} = retries.describeBudget(now, reach);
+			const {requests, retries: spent, memory} = retries.describeBudget(now, membership);
 			this.#parts.logger.info({
-				event: 'retry_refused', request: request.requestId, service: request.service, node: request.node, requests, spent, memory: Math.round(memory * 100) / 100, known: reach.known,
-			}, 'the budget of the fleet is spent');
+				event: 'retry_refused', request: request.requestId, service: request.service, node: request.node, requests, spent, memory: Math.round(memory * 100) / 100, known: membership.known,
+			}, 'the retry budget of the fleet is used up');
 		}
 
 		return isGranted;
 	}
 
-	/** What this node is to tell a node that decides for it from now on. */
+	/** Describes the retry history of this node for its new scheduling node. */
 	describeOwn(service: ServiceName, scheduler: Peer): RetryHistory {
 		const sender = {life: this.#parts.self().life, age: this.#computeAge(), known: this.countKnown()};
 		return this.#find(service).describeHistory(this.#now, sender, scheduler.life);
 	}
 
-	/** Takes what a node remembers that asks this one from now on. */
+	/** Merges the retry history of a node that this one schedules for from now on. */
 	mergeHistory(service: ServiceName, history: RetryHistory): void {
 		this.#find(service).addHistory(history, this.#now);
 	}
 
-	/** What is left of a service's budget, as its deciding node counts; undefined where nothing was counted yet. */
+	/** Describes a service's budget as counted by this node; undefined before the first request. */
 	describe(service: ServiceName): RetryBudget | undefined {
 		const retries = this.#services.get(service);
 		if (retries === undefined) {
@@ -106,16 +106,16 @@
 		}
 
 		const now = this.#now;
-		const reach = this.#readReach();
-		const {memory, ...counts} = retries.describeBudget(now, reach);
-		return {...counts, memory: Math.round(memory * 100) / 100, left: retries.countRemaining(now, reach)};
+		const membership = this.#describeMembership();
+		const {memory, ...counts} = retries.describeBudget(now, membership);
+		return {...counts, memory: Math.round(memory * 100) / 100, left: retries.countRemaining(now, membership)};
 	}
 
 	get #now(): number {
 		return this.#parts.clock.readMonotonic();
 	}
 
-	/** Nodes of the fleet as far as this one knows, itself among them. */
+	/** Counts the known nodes of the fleet, including this one. */
 	countKnown(): number {
 		return Math.max(this.#parts.countConfigured(), this.#parts.peers.countKnown() + 1);
 	}
@@ -125,7 +125,7 @@
 		if (answer !== true) {
 			this.#parts.logger.info({
 				event: 'retry_not_granted', request: request.requestId, service: request.service, node: scheduler.name, answer,
-			}, answer === undefined ? 'the deciding node does not answer; this node uses its own part of the budget' : 'the budget of the fleet is spent; this node uses its own part');
+			}, answer === undefined ? 'no response from the scheduling node; using the local retry budget' : 'the retry budget of the fleet is used up; using the local one');
 		}
 
 		return answer === true;
@@ -141,12 +141,12 @@
 		return retries;
 	}
 
-	#readReach(): FleetMembership {
+	#describeMembership(): FleetMembership {
 		const age = this.#computeAge();
 		return {live: [{life: this.#parts.self().life, observedFor: age}, ...this.#parts.peers.listLiveAges()], known: this.countKnown(), age};
 	}
 
-	/** Milliseconds since this node's process started. */
+	/** Computes the milliseconds since this node's process started. */
 	#computeAge(): number {
 		return this.#now - this.#startedAt;
 	}
--- a/src/gateway/scheduling/fleet-placer.ts
+++ b/src/gateway/scheduling/fleet-placer.ts
@@ -1,10 +1,8 @@
 /**
- * One node plans for all, the next one in order when it is gone.
+ * Scheduling by one node for the whole fleet, with failover.
  *
- * Every node ranks the live nodes alike for a service; the first one decides. A node that
- * gets no answer in time decides by itself, with the same planner over what it has seen:
- * its own plans, and what others made for it. A plan made so may collide with another one,
- * which costs a refusal by a server, never a promise.
+ * All nodes select the same scheduling node for a service. A node that gets no response in time schedules the request
+ * itself from the plans it knows of. Such plans may conflict: a server then refuses a request, but no guarantee is broken.
  */
 import {
 	Left, Right, type Either,
@@ -30,28 +28,28 @@
 import {ReplicatedLimits} from './replicated-limits.js';
 import {DistributedRetryBudget, type RetryBudget} from './distributed-retry-budget.js';
 
-/** Time in which the deciding node must answer, in milliseconds: a box that has used up its quota stands still for most of a tenth of a second; with 60, 14 asks were given up within two seconds of one played day. */
+/** Timeout for a response of the scheduling node, in milliseconds: a process that has used up its CPU quota is paused for most of 100 ms. */
 const decisionTimeout = 90;
 
-/** How long a node that did not answer is passed over, in milliseconds: its death shows in its heartbeats after that. */
+/** Time for which a node that did not respond is bypassed, in milliseconds: a dead one is then detected by its heartbeats. */
 const slowNodeBypass = 600;
 
-/** Time in which notes are gathered, in milliseconds. */
-const noteBatchDelay = 8;
+/** Time for which plan events are batched, in milliseconds. */
+const eventBatchDelay = 8;
 
-/** Part of the servers' limits that all nodes together may grant which stand in for the deciding one. */
+/** Share of the servers' request limits available to all nodes that schedule in place of the scheduling node. */
 const fallbackLimitShare = 0.3;
 
-/** Time for plans to be taken over, in milliseconds. */
+/** Timeout for handing state over to a new scheduling node, in milliseconds. */
 const adoptionTimeout = 500;
 
-/** Time between two lists of what a node carries out, in milliseconds. */
+/** Time between two lists of the running plans of a node, in milliseconds. */
 const reconcileInterval = 1000;
 
-/** Empty lists told after the last plan has ended: any of them may be lost. Hundreds of nodes at rest tell nothing. */
+/** Number of empty lists sent after the last plan has ended, as any of them may be lost. Idle nodes send nothing after that. */
 const emptyListRepeats = 3;
 
-/** What the placer needs. */
+/** Dependencies of the placer. */
 export type FleetPlacerParts = {
 	clock: Clock;
 	logger: Logger;
@@ -61,46 +59,46 @@
 	peers: Peers;
 	clients: PeerClients;
 	socket: PeerSocket;
-	/** Nodes that the settings tell of, this one among them: those that a node knows which has just started and hears nobody. */
+	/** Number of nodes named in the settings, including this one: the fleet size to assume before heartbeats arrive. */
 	countConfigured: () => number;
-	/** The fleet's budget of retries for each service. */
+	/** Retry budget of the fleet for each service. */
 	retries: RetryLimits;
 	self: () => Peer;
 };
 
-/** This node's part in planning for one service. */
+/** Scheduling state of one service on this node. */
 type ServicePlans = {
 	planner: Planner;
-	/** Plans that this node carries out. */
+	/** Plans that this node is running. */
 	ownPlans: Map<PlanId, Plan>;
-	/** The node that was asked last. */
+	/** The scheduling node selected last. */
 	scheduler: Pick<Peer, 'name' | 'life'> | undefined;
-	/** Whether that node may not know yet what this one has running and has spent. */
+	/** Whether that node may lack the running plans and retries of this one. */
 	isAdoptionPending: boolean;
-	notes: PlanEvent[];
+	pendingEvents: PlanEvent[];
 	crashes: ReplicatedCrashes;
 	limits: ReplicatedLimits;
-	/** Empty lists that are still to be told. */
+	/** Number of empty lists still to send. */
 	emptyListsLeft: number;
-	noteTimer: Timer | undefined;
+	eventTimer: Timer | undefined;
 };
 
-/** A service as one node knows it. */
+/** Status of a service as known to one node. */
 export type ServiceWork = {
 	service: ServiceName;
-	/** The node that decides, as this one chooses. */
+	/** The scheduling node selected by this one. */
 	decider: {name: BoxId; life: string; host: string; isSelf: boolean};
-	/** Plans in progress, and prompts that wait to be read. */
+	/** Number of plans in progress and of prompts waiting to be read. */
 	plans: number;
 	waiting: number;
-	/** Only where this node decides. */
+	/** Present only if this node is the scheduling node. */
 	retries?: RetryBudget;
 	usableServers: number;
-	/** The busiest ones; none before the first request. */
+	/** The busiest servers; empty before the first request. */
 	servers: PlannedServerStatus[];
 };
 
-/** Asks the deciding node, and decides when this node is the one, or alone. */
+/** Obtains plans from the scheduling node; makes them itself if this is the scheduling node or that node does not respond. */
 export class FleetPlacer extends Placer {
 	readonly #parts: FleetPlacerParts;
 	readonly #services = new Map<ServiceName, ServicePlans>();
@@ -114,11 +112,11 @@
 		this.#parts = parts;
 		this.#schedulers = new SchedulerSelector(parts.clock, parts.peers, parts.self);
 		const {
-			clock, logger, peers, clients, countConfigured: countTold, self,
+			clock, logger, peers, clients, countConfigured, self,
 		} = parts;
 		this.#updates = new PlanUpdateSender(parts.socket, peers, this.#schedulers, () => self().name);
 		this.#retries = new DistributedRetryBudget({
-			clock, logger, peers, clients, schedulers: this.#schedulers, limits: parts.retries, countConfigured: countTold, decisionTimeout: decisionTimeout, self,
+			clock, logger, peers, clients, schedulers: this.#schedulers, limits: parts.retries, countConfigured, decisionTimeout, self,
 		});
 		parts.state.addListener(() => {
 			this.#refreshServers();
@@ -149,22 +147,22 @@
 		});
 	}
 
-	override report(plan: Plan, note: PlanEvent): void {
+	override report(plan: Plan, event: PlanEvent): void {
 		const {service, fingerprint} = plan.request;
 		const plans = this.#findPlans(service);
-		this.#applyNote(plans.planner, note);
-		if (note.kind === 'ended') {
+		this.#applyEvent(plans.planner, event);
+		if (event.kind === 'ended') {
 			plans.ownPlans.delete(plan.planId);
 		}
 
-		this.#queueNote(service, plans, note);
-		if (note.kind === 'server_ended') {
-			plans.crashes.replicateOwn(note);
-		} else if (note.kind === 'ended' && note.wasAnswered === true && fingerprint !== undefined && plans.planner.crashRecords.has(fingerprint)) {
+		this.#queueEvent(service, plans, event);
+		if (event.kind === 'server_ended') {
+			plans.crashes.replicateOwn(event);
+		} else if (event.kind === 'ended' && event.wasAnswered === true && fingerprint !== undefined && plans.planner.crashRecords.has(fingerprint)) {
 			const survived: PlanEvent = {planId: plan.planId, kind: 'survived', fingerprint};
 			const isBroadcast = plans.crashes.hasRepeated(fingerprint);
-			this.#applyNote(plans.planner, survived);
-			this.#queueNote(service, plans, survived);
+			this.#applyEvent(plans.planner, survived);
+			this.#queueEvent(service, plans, survived);
 			this.#updates.sendToSuccessors(service, isBroadcast, {notes: [survived]});
 		}
 	}
@@ -177,7 +175,7 @@
 		}
 	}
 
-	/** Decides for a node that asked. One that is refused a request which crashes servers learns of the crashes: it may have to decide alone. */
+	/** Schedules a request for another node. A refusal because of crashes includes them, as that node may have to schedule alone later. */
 	decideFor(request: PlanRequest): DecisionAnswer {
 		return this.#decideAsScheduler(request).caseOf<DecisionAnswer>({
 			Left: failure => failure.kind === 'ends_servers' ? {failure, crashes: this.#findPlans(request.service).crashes.describe(request.fingerprint)} : {failure},
@@ -189,30 +187,30 @@
 		return this.#retries.take(request);
 	}
 
-	/** Grants a retry out of the fleet's budget to a node that asked. */
+	/** Grants or denies another node a retry from the fleet's budget. */
 	grantRetry(request: RetryRequest): boolean {
 		return this.#retries.grant(request);
 	}
 
-	/** Changes how many retries are allowed. */
+	/** Changes the retry budget. */
 	setAllowedRetries(allowed: RetryAllowance): void {
 		this.#retries.setAllowed(allowed);
 	}
 
-	/** Takes the news of a node that carries plans out; it does not carry out what it does not list. */
+	/** Applies an update of a node that runs plans; plans missing from its list have ended. */
 	applyPlanUpdate({
 		service, node, notes, active, crashRecords = [], limits = [],
 	}: PlanUpdate): void {
-		const {planner, crashes, limits: known} = this.#findPlans(service);
+		const {planner, crashes, limits: replicatedLimits} = this.#findPlans(service);
 		for (const limit of limits) {
-			known.merge(limit, node);
+			replicatedLimits.merge(limit, node);
 		}
 
 		crashes.merge(crashRecords);
-		for (const note of notes) {
-			this.#applyNote(planner, note);
-			if (note.kind === 'server_ended') {
-				crashes.replicateReported(note);
+		for (const event of notes) {
+			this.#applyEvent(planner, event);
+			if (event.kind === 'server_ended') {
+				crashes.replicateReported(event);
 			}
 		}
 
@@ -220,11 +218,11 @@
 		if (forgotten > 0) {
 			this.#parts.logger.info({
 				event: 'plans_reconciled', service, node, forgotten, active: active?.length,
-			}, 'plans whose end or answer was lost are forgotten');
+			}, 'removed plans whose end or decision was lost');
 		}
 	}
 
-	/** Takes over a node that another one decided for until now: what it carries out, and what it has spent. */
+	/** Takes over a node from another scheduling node, with its running plans and retry history. */
 	adopt({
 		service, plans, crashRecords, limits, history,
 	}: Adoption): void {
@@ -238,7 +236,7 @@
 		}
 	}
 
-	/** Tells the deciding nodes once in a while what this node carries out; notes may have been lost. */
+	/** Sends the list of running plans to the scheduling nodes once a second, as plan events may have been lost. */
 	tick(): void {
 		const now = this.#parts.clock.readMonotonic();
 		if (now - this.#reconciledAt < reconcileInterval) {
@@ -265,7 +263,7 @@
 		}
 	}
 
-	/** How a service stands at this node: only the deciding one knows all of its work. */
+	/** Describes a service as known to this node; only the scheduling node knows all of its plans. */
 	describe(service: ServiceName, maxServers: number): ServiceWork {
 		const self = this.#parts.self();
 		const {name, life, peerAddress} = this.#schedulers.select(service);
@@ -285,7 +283,7 @@
 		};
 	}
 
-	/** Each node remembers what it has been told of the requests that came to it: the next one that decides learns it from all of them. */
+	/** Adds known crashes to a request: a new scheduling node gets the records from the nodes that proxied the request. */
 	#addCrashes(request: PlanRequest): PlanRequest {
 		const crashes = this.#findPlans(request.service).crashes.describe(request.fingerprint);
 		return crashes.length === 0 ? request : {...request, crashes};
@@ -297,8 +295,8 @@
 		}
 	}
 
-	#applyNote(planner: Planner, note: PlanEvent): void {
-		const overrun = planner.recordEvent(note, this.#parts.clock.readMonotonic());
+	#applyEvent(planner: Planner, event: PlanEvent): void {
+		const overrun = planner.recordEvent(event, this.#parts.clock.readMonotonic());
 		if (overrun !== undefined) {
 			logReadOverrun(this.#parts.logger, overrun);
 		}
@@ -311,7 +309,7 @@
 		return this.#decideLocally(request, seen, limitShare);
 	}
 
-	/** Decides by what this node has seen: its own plans, and those of so many nodes, itself among them, that ask it. */
+	/** Decides from the plans known here: those of `seen` nodes that ask this one, itself included. */
 	#decideLocally(request: PlanRequest, seen: number, limitShare = fallbackLimitShare / this.#retries.countKnown()): Either<Failure, Decision> {
 		const {planner} = this.#findPlans(request.service);
 		const now = this.#parts.clock.readMonotonic();
@@ -347,7 +345,7 @@
 			return {decidedBy: 'planner', result: Right(answer.decision)};
 		}
 
-		// A node that has just started may know fewer servers than this one; those that the request has left are none that it lacks.
+		// A recently started node may lack servers known here; servers excluded by the request do not count as missing.
 		const isMissingServers = answer?.failure?.kind === 'no_backend_server' && this.#parts.state.listServers(request.service).some(server => !request.excluded.includes(server.id));
 		if (answer?.failure !== undefined && !isMissingServers) {
 			return {decidedBy: 'planner', result: Left(answer.failure)};
@@ -356,17 +354,17 @@
 		this.#parts.peers.markSlow(scheduler.name, slowNodeBypass);
 		this.#parts.logger.warn({
 			event: 'decider_passed_over', request: request.requestId, node: scheduler.name, reason: isMissingServers ? 'it knows no server' : `no answer within ${decisionTimeout} ms`,
-		}, 'this node decides by its own view');
+		}, 'bypassed the scheduling node; this node schedules by itself');
 		return {decidedBy: 'fallback', result: this.#decideLocally(request, 1)};
 	}
 
-	/** A new decider learns what this node has running and has spent; one that started again knows nothing of it either. */
+	/** Hands running plans and retry history over to a new or restarted scheduling node. */
 	#changeScheduler(service: ServiceName, plans: ServicePlans, scheduler: Peer): void {
 		const isChanged = plans.scheduler?.life !== scheduler.life;
 		if (isChanged) {
 			this.#parts.logger.info({
 				event: 'decider_changed', service, from: plans.scheduler?.name, to: scheduler.name, own: plans.ownPlans.size,
-			}, 'another node decides for a service');
+			}, 'the scheduling node of a service changed');
 			plans.scheduler = {name: scheduler.name, life: scheduler.life};
 			plans.emptyListsLeft = emptyListRepeats;
 		}
@@ -394,19 +392,19 @@
 		plans.isAdoptionPending ||= answer !== true && plans.scheduler?.life === scheduler.life;
 	}
 
-	#queueNote(service: ServiceName, plans: ServicePlans, note: PlanEvent): void {
+	#queueEvent(service: ServiceName, plans: ServicePlans, event: PlanEvent): void {
 		if (plans.scheduler !== undefined && plans.scheduler.name !== this.#parts.self().name) {
-			plans.notes.push(note);
-			plans.noteTimer ??= this.#parts.clock.setTimer(noteBatchDelay, () => {
-				this.#sendNotes(service, plans);
+			plans.pendingEvents.push(event);
+			plans.eventTimer ??= this.#parts.clock.setTimer(eventBatchDelay, () => {
+				this.#sendEvents(service, plans);
 			});
 		}
 	}
 
-	#sendNotes(service: ServiceName, plans: ServicePlans): void {
-		const {notes} = plans;
-		plans.notes = [];
-		plans.noteTimer = undefined;
+	#sendEvents(service: ServiceName, plans: ServicePlans): void {
+		const {pendingEvents: notes} = plans;
+		plans.pendingEvents = [];
+		plans.eventTimer = undefined;
 		this.#updates.sendToNode(plans.scheduler?.name, service, {notes});
 	}
 
@@ -435,11 +433,11 @@
 			ownPlans: new Map(),
 			scheduler: undefined,
 			isAdoptionPending: false,
-			notes: [],
+			pendingEvents: [],
 			crashes: new ReplicatedCrashes(parts),
 			limits: new ReplicatedLimits(parts),
 			emptyListsLeft: emptyListRepeats,
-			noteTimer: undefined,
+			eventTimer: undefined,
 		};
 	}
 
--- a/src/gateway/scheduling/replicated-limits.ts
+++ b/src/gateway/scheduling/replicated-limits.ts
@@ -1,12 +1,12 @@
-/** Request limits of one service's servers, as one node takes part in them: reports what answers name and replicates what it knows. */
+/** Request limits announced by the servers of one service: reports them to the scheduling node and replicates them. */
 import type {BackendServerId, BoxId} from '../../common/index.js';
 import type {ReportedLimit} from '../../planning/index.js';
 import type {ServiceParts} from './service-parts.js';
 
-/** Time between two reports of the same limit to the deciding node, in milliseconds. */
+/** Minimum time between two reports of the same limit to the scheduling node, in milliseconds. */
 const reportInterval = 500;
 
-/** Limits of one service's servers. */
+/** Request limits of the servers of one service on this node. */
 export class ReplicatedLimits {
 	readonly #parts: ServiceParts;
 	readonly #reportedAt = new Map<BackendServerId, number>();
@@ -15,7 +15,7 @@
 		this.#parts = parts;
 	}
 
-	/** Notes the limit of an answer, in requests a second, undefined when it names none; returns a report that is due to the deciding node. */
+	/** Records the limit in a response, in requests per second, or undefined if it has none; returns a report if one is due to the scheduling node. */
 	recordAnswer(server: BackendServerId, requestsPerSecond: number | undefined, self: BoxId): ReportedLimit | undefined {
 		if (requestsPerSecond === undefined && this.#parts.planner.limits.findRate(server) === undefined) {
 			return undefined;
@@ -32,7 +32,7 @@
 		return limit;
 	}
 
-	/** Takes a report; returns whether it changed the limit. */
+	/** Merges a reported limit; returns whether it changed. */
 	merge(limit: ReportedLimit, origin: BoxId): boolean {
 		const {service, planner, clock, logger} = this.#parts;
 		const before = planner.limits.findRate(limit.server);
@@ -40,27 +40,27 @@
 		if (isChanged) {
 			logger.info({
 				event: 'server_limit', service, ...limit, before, origin,
-			}, limit.requestsPerSecond === undefined ? 'a backend server has lifted its request limit' : 'a backend server names a request limit');
+			}, limit.requestsPerSecond === undefined ? 'a backend server lifted its request limit' : 'a backend server announced a request limit');
 		}
 
 		return isChanged;
 	}
 
-	/** All limits, for other nodes. */
+	/** Describes all limits, for other nodes. */
 	describe(): ReportedLimit[] {
 		return this.#parts.planner.limits.describe(this.#parts.clock.readMonotonic());
 	}
 
-	/** Sends the limits to all nodes: any of them may have to decide. */
+	/** Sends the limits to all nodes: any of them may have to schedule requests. */
 	replicate(): void {
-		const {service, updates: news} = this.#parts;
+		const {service, updates} = this.#parts;
 		const limits = this.describe();
 		if (limits.length > 0) {
-			news.sendToSuccessors(service, true, {limits});
+			updates.sendToSuccessors(service, true, {limits});
 		}
 	}
 
-	/** Forgets when limits of servers were reported that are gone. */
+	/** Removes the report times of servers that no longer exist. */
 	prune(): void {
 		for (const server of this.#reportedAt.keys()) {
 			if (!this.#parts.state.hasServer(server)) {
--- a/src/gateway/scheduling/scheduler-selector.ts
+++ b/src/gateway/scheduling/scheduler-selector.ts
@@ -1,16 +1,16 @@
-/** Which node this one asks for the places of a service, kept while nothing changes. */
+/** Selects and caches the node that schedules the requests of a service; logs and the status page call it `decider`. */
 import type {Clock, ServiceName} from '../../common/index.js';
 import type {Peer} from '../peers/heartbeat.js';
 import type {Peers} from '../peers/peers.js';
 import {selectScheduler} from './select-scheduler.js';
 
-/** How long a choice holds while nothing changes, in milliseconds: silence and slowness end without a sign. */
+/** Lifetime of a cached selection, in milliseconds: timeouts and the end of slowness do not change the revision of the peers. */
 const selectionCacheTime = 50;
 
-/** `first` is the node that would decide if none were slow. */
+/** `preferred` is the node that would be selected if none were slow. */
 type Selection = {revision: number; isReady: boolean; selectedAt: number; node: Peer; preferred: Peer};
 
-/** The deciding nodes as this node sees them. It is asked several times a request, and orders a fleet of hundreds for it. */
+/** Scheduling nodes of all services as selected by this node. Cached, as each request reads them several times and a fleet has hundreds of nodes. */
 export class SchedulerSelector {
 	readonly #clock: Clock;
 	readonly #peers: Peers;
@@ -23,18 +23,18 @@
 		this.#self = self;
 	}
 
-	/** The node that decides once the present one is gone; undefined when there is no other. */
+	/** Selects the node that takes over if the current one fails; undefined if there is no other. */
 	selectNext(service: ServiceName): Peer | undefined {
 		const current = this.select(service).name;
 		return selectScheduler(service, this.#peers.listReady().filter(peer => peer.name !== current));
 	}
 
-	/** Every node finds the same one among the live nodes, unless one was slow to it lately. */
+	/** Selects the scheduling node. All nodes select the same one unless they mark different nodes as slow. */
 	select(service: ServiceName): Peer {
 		return this.#findSelection(service).node;
 	}
 
-	/** Whether this node decides as far as all live nodes agree. Slow nodes pass each other over, and several may decide at a time. */
+	/** Whether this node is the scheduling node when slowness is ignored. Nodes that mark each other as slow may each select themselves; only one is preferred. */
 	isPreferred(service: ServiceName): boolean {
 		return this.#findSelection(service).preferred.name === this.#self().name;
 	}
@@ -52,7 +52,7 @@
 		const preferred = selectScheduler(service, ready) ?? self;
 		const node = this.#peers.isSlow(preferred.name) ? selectScheduler(service, ready.filter(peer => !this.#peers.isSlow(peer.name))) ?? self : preferred;
 		const selection = {
-			revision, isReady: self.isReady, selectedAt: now, node, preferred: preferred,
+			revision, isReady: self.isReady, selectedAt: now, node, preferred,
 		};
 		this.#selections.set(service, selection);
 		return selection;
--- a/src/gateway/scheduling/select-scheduler.ts
+++ b/src/gateway/scheduling/select-scheduler.ts
@@ -1,11 +1,11 @@
-/** Which node decides for a service. Pure. */
+/** Selects the scheduling node of a service by rendezvous hashing. Pure. */
 import {findRendezvous, type ServiceName} from '../../common/index.js';
 import type {Peer} from '../peers/heartbeat.js';
 
-/** A node with at least this share of the cores of the largest one is large enough: every request of the fleet asks the deciding node. */
+/** Minimum share of the cores of the largest node that a scheduling node has: it handles every request of the fleet. */
 const largeNodeShare = 0.75;
 
-/** The first of the large nodes in the order of the service; undefined when there is none at all. */
+/** Selects one of the large nodes; undefined if there are no nodes. */
 export function selectScheduler(service: ServiceName, nodes: Peer[]): Peer | undefined {
 	const maxCores = Math.max(...nodes.map(node => node.cores));
 	const large = nodes.filter(node => node.cores >= maxCores * largeNodeShare);
--- a/src/gateway/scheduling/service-parts.ts
+++ b/src/gateway/scheduling/service-parts.ts
@@ -1,10 +1,10 @@
-/** What a node's parts for one service have in common. */
+/** Dependencies shared by the classes that handle one service. */
 import type {Clock, Logger, ServiceName} from '../../common/index.js';
 import type {Planner} from '../../planning/index.js';
 import type {FleetState} from '../../routing/index.js';
 import type {PlanUpdateSender} from './plan-update-sender.js';
 
-/** What a part of one service needs. */
+/** Dependencies of a class that handles one service. */
 export type ServiceParts = {
 	service: ServiceName;
 	planner: Planner;
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -1,4 +1,4 @@
-// Requests that crash each backend server that runs them, sent again by clients that leave early or switch nodes.
+// Requests that crash every backend server that runs them, sent again by clients that disconnect early or switch nodes.
 import {
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
@@ -8,10 +8,10 @@
 	formatEvent, createAnswerHeaders, type ServerBehaviour, type ReceivedRequest,
 } from './helpers/platform-standins.js';
 
-/** Limit for tests with dozens of callers, in milliseconds. */
+/** Timeout of tests with dozens of callers, in milliseconds. */
 const testTimeout = 60_000;
 
-/** Time for a node to learn of a crash, in milliseconds, and how often the request may reach servers later than that. */
+/** Time for all nodes to receive a crash record, in milliseconds, and number of times the request may reach servers after that. */
 const propagationTime = 3000;
 const maxLateArrivals = 3;
 
@@ -22,11 +22,11 @@
 const poison = 'poison';
 
 let fleet: GatewayFleet;
-/** When the request has crashed a server, and when it has reached one. */
+/** Times at which the request crashed a server, and at which it reached one. */
 let crashes: number[];
 let arrivals: number[];
 let isOver: boolean;
-/** Whether the address of a crashed server takes connections, as that of a proxy does. */
+/** Whether the address of a crashed server still accepts connections, like that of a proxy. */
 let isBehindProxy: boolean;
 
 beforeEach(() => {
@@ -42,7 +42,7 @@
 	await fleet.stop();
 });
 
-/** Streams six events in 300 ms; a crashing request takes the server down, whether its client is still there or not. */
+/** Streams six events in 300 ms; the `poison` request crashes the server even if its client has disconnected. */
 function createCrashing(): ServerBehaviour {
 	return async (request, response, socket) => {
 		if (request.body === poison) {
@@ -63,7 +63,7 @@
 	};
 }
 
-/** The entry of a crashed server lapses later, as on the platform. */
+/** Crashes a server; its entry expires later, as on the platform. */
 function crashServer({headers}: ReceivedRequest): void {
 	const name = headers['cresshook-target-instance'] ?? '';
 	if (isOver) {
@@ -107,14 +107,14 @@
 	return arrivals.filter(at => at > third + propagationTime).length;
 }
 
-test('rejects a request that crashed three servers after its client had left', async () => {
+test('rejects a request that crashed three servers after its client disconnected', async () => {
 	await startFleet(8);
 	await repeatUntil(Date.now() + 14_000, 300, async attempt => sendStream(poison, attempt, 60));
 	expect(crashes.length).toBeGreaterThanOrEqual(3);
 	expect(countLateArrivals()).toBeLessThanOrEqual(maxLateArrivals);
 }, testTimeout);
 
-test('rejects a request that crashed three servers after its client had left, beside other requests', async () => {
+test('rejects a request that crashed three servers after its client disconnected, under other load', async () => {
 	await startFleet(8);
 	const end = Date.now() + 14_000;
 	const good = Array.from({length: 6}, async (_, index) => repeatUntil(end, 50, async attempt => sendStream(`good ${index}`, attempt)));
--- a/test/deadly-requests.test.ts
+++ b/test/deadly-requests.test.ts
@@ -1,6 +1,5 @@
-// A few requests ended every server that ran them. Their callers sent them again under new ids, at any node, and each try ended one
-// server more, with all others that ran there: 46 servers in 25 s by fifteen such requests, and one of fourteen good requests
-// beside them failed. Each call counted its own tries, and nothing was known of a request once its call was over.
+// Requests that crash every server that runs them, sent again by their callers under new ids at any node. Guards against
+// counting crashes per call only: fifteen such requests crashed 46 servers in 25 s, and one of fourteen good requests failed.
 import {
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
@@ -8,21 +7,21 @@
 import {pause} from './helpers/pause.js';
 import {formatEvent, createAnswerHeaders, type ServerBehaviour} from './helpers/platform-standins.js';
 
-/** Time for a test with dozens of callers, in milliseconds. */
+/** Timeout of tests with dozens of callers, in milliseconds. */
 const testTimeout = 60_000;
 
-/** Servers that one request may end in the whole fleet. */
+/** Maximum number of servers that one request may crash in the whole fleet. */
 const maxCrashes = 3;
 
-/** Servers that are there at the start, and nodes. */
+/** Initial number of servers, and number of nodes. */
 const servers = 6;
 const nodes = 3;
 
-/** Time after which a server that ended is replaced, in milliseconds. */
+/** Time after which a crashed server is replaced, in milliseconds. */
 const replaceAfter = 500;
 
 let fleet: GatewayFleet;
-/** Names of the deadly requests under which servers have ended, one for each end. */
+/** Bodies of the requests that crashed servers, one for each crash. */
 let crashes: string[];
 let isOver: boolean;
 
@@ -37,7 +36,7 @@
 	await fleet.stop();
 });
 
-/** Streams six events in 300 ms; a deadly request ends the server, and with it all that it runs, after the second one. */
+/** Streams six events in 300 ms; a `deadly` request crashes the server with all its requests after the second event. */
 function createCrashing(): ServerBehaviour {
 	return async (request, response) => {
 		const {body} = request;
@@ -73,7 +72,7 @@
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.listReadyNodes().length === nodes));
 }
 
-/** Sends a body until a time is over, each try at the next node under a new id; returns the statuses, 0 for an answer that was broken off. */
+/** Sends a body repeatedly until `end`, each time to the next node under a new id; returns the statuses, 0 for truncated answers. */
 async function callUntil(body: string, end: number, gap: number): Promise<number[]> {
 	const statuses: number[] = [];
 	for (let attempt = 0; Date.now() < end; attempt++) {
@@ -85,18 +84,18 @@
 	return statuses;
 }
 
-/** Good callers, each with a body of its own. */
+/** Sends harmless requests from several callers, each with its own body. */
 async function callGood(count: number, end: number): Promise<number[]> {
 	const all = await Promise.all(Array.from({length: count}, async (_, index) => callUntil(`good ${index}`, end, 100)));
 	return all.flat();
 }
 
-/** Sends so many good bodies once each, the same ones each time. */
+/** Sends a number of harmless bodies once each; the bodies are the same in each call. */
 async function callOnce(count: number): Promise<ReceivedResponse[]> {
 	return Promise.all(Array.from({length: count}, async (_, index) => fleet.call({path: '/stream/', body: `once ${index}`, headers: {'cresshook-token-usage': '500,80'}}, index % nodes)));
 }
 
-test('a request that ends every server that runs it ends three in the whole fleet, and costs no other request its answer', async () => {
+test('a request that crashes every server crashes at most three in the whole fleet, and no other request fails', async () => {
 	await startFleet();
 	const end = Date.now() + 8000;
 	const [bad, good] = await Promise.all([callUntil('deadly 1', end, 150), callGood(20, end)]);
@@ -105,7 +104,7 @@
 	expect(bad.at(-1)).toBe(503);
 }, testTimeout);
 
-test('two such requests at once end three servers each', async () => {
+test('two crashing requests at once crash at most three servers each', async () => {
 	await startFleet();
 	const end = Date.now() + 8000;
 	await Promise.all([callUntil('deadly 1', end, 150), callUntil('deadly 2', end, 150), callGood(20, end)]);
@@ -114,7 +113,7 @@
 	}
 }, testTimeout);
 
-test('what is known of such a request outlives the node that decides', async () => {
+test('crash records survive the loss of the scheduling node', async () => {
 	await startFleet();
 	const first = Date.now() + 4000;
 	await Promise.all([callUntil('deadly 1', first, 150), callGood(10, first)]);
@@ -127,10 +126,9 @@
 	expect(crashes.length).toBeLessThanOrEqual(maxCrashes);
 }, testTimeout);
 
-// The node that decided and had carried the request was gone, and the next one, which had been told, did not answer within 90 ms beside
-// other load. A third node decided alone (`decider_passed_over`); it had been refused the same request six times and had learned
-// nothing by it: three more servers ended (`server_ended` there for i-6, i-7 and i-1).
-test('a node that was told that a request ends servers holds to it when it is left alone', async () => {
+// A node that was refused a request must keep its crash records. When the scheduling node was gone and its successor did
+// not respond within 90 ms, a third node scheduled alone (`decider_passed_over`) and let the request crash three more servers.
+test('a node that was refused a crashing request refuses it when it is left alone', async () => {
 	await startFleet();
 	const first = Date.now() + 3000;
 	await Promise.all([callUntil('deadly 1', first, 150), callGood(6, first)]);
@@ -145,9 +143,8 @@
 	expect(new Set(bad)).toEqual(new Set([503]));
 }, testTimeout);
 
-// Beside load a node was passed over for 90 ms without an answer again and again, and each of three nodes decided alone in turn
-// (`decider_passed_over`, twelve `decider_changed` in three seconds). Each knew of the ends that it had carried, and five and six servers
-// ended by one request.
+// All nodes need the crash records. Under load, three nodes that bypassed each other after 90 ms without a response scheduled
+// alone in turn (twelve `decider_changed` in three seconds) with only their own records: one request crashed five or six servers.
 test('a node that has never seen a request that ends servers refuses it when it is left alone', async () => {
 	await startFleet();
 	for (let attempt = 0; attempt < 4; attempt++) {
@@ -175,9 +172,9 @@
 	crashServer(`i-${busy}`, 'power');
 }
 
-// Short questions of many callers are alike to the letter. Each server that ended had run some of them, and after three all of
-// them were refused for ten minutes.
-test('requests that are alike are served though servers end under them again and again', async () => {
+// Short prompts of many callers are identical. When servers crash for other reasons while running some of them, these
+// prompts must not be refused: after three such crashes they were refused for ten minutes.
+test('identical requests are served although servers repeatedly crash while running them', async () => {
 	await startFleet();
 	for (let round = 0; round < 5; round++) {
 		const calls = [0, 1, 2, 0].map(async node => callIdentical(node));
@@ -189,7 +186,7 @@
 	}
 }, testTimeout);
 
-test('a request that stood at two servers that ended together with others is served', async () => {
+test('a request that ran on two servers that crashed together with others is served', async () => {
 	await startFleet();
 	for (let round = 0; round < 2; round++) {
 		const calls = callOnce(12);
--- a/test/deciders.test.ts
+++ b/test/deciders.test.ts
@@ -24,30 +24,30 @@
 	};
 }
 
-test('one of the large nodes decides, whichever are small', () => {
+test('selects one of the large nodes as scheduling node', () => {
 	const nodes = Array.from({length: 60}, (_, index) => createNode(`n${index}`, index % 10 === 0 ? 1.35 : 0.3));
 	expect(selectScheduler(service, nodes)?.cores).toBe(1.35);
 });
 
-test('nodes of about one size all may decide, each service by its own', () => {
+test('selects different scheduling nodes for different services among nodes of similar size', () => {
 	const nodes = Array.from({length: 30}, (_, index) => createNode(`n${index}`, index % 2 === 0 ? 1 : 0.9));
 	const chosen = new Set(Array.from({length: 40}, (_, index) => selectScheduler(`service-${index}` as ServiceName, nodes)?.name));
 	expect(chosen.size).toBeGreaterThan(15);
 });
 
-test('when the deciding node is gone, all others agree on the next', () => {
+test('all nodes select the same successor when the scheduling node is gone', () => {
 	const nodes = Array.from({length: 12}, (_, index) => createNode(`n${index}`, 1));
 	const remaining = nodes.filter(node => node !== selectScheduler(service, nodes));
 	expect(selectScheduler(service, [...remaining].reverse())).toBe(selectScheduler(service, remaining));
 	expect(selectScheduler(service, remaining)).not.toBe(selectScheduler(service, nodes));
 });
 
-test('without nodes nobody decides', () => {
+test('selects no scheduling node without nodes', () => {
 	expect(selectScheduler(service, [])).toBeUndefined();
 });
 
-// Each of four nodes granted a server's whole limit: 92 requests in 4 s at ten a second.
-test('of nodes that pass each other over as slow one is the first', () => {
+// Guards against several nodes each granting a server's whole request limit: four nodes sent 92 requests in 4 s at a limit of 10 per second.
+test('only one node is preferred among nodes that mark each other as slow', () => {
 	const nodes = Array.from({length: 4}, (_, index) => createNode(`n${index}`, 1));
 	const selectors = nodes.map(self => {
 		const peers: Partial<Peers> = {revision: 0, listReady: () => nodes, isSlow: name => name !== self.name};
--- a/test/gateway-nodes.test.ts
+++ b/test/gateway-nodes.test.ts
@@ -9,7 +9,7 @@
 import {LogCapture} from './helpers/logs.js';
 import {createTextAnswer, decline, streamEvents} from './helpers/platform-standins.js';
 
-/** For tests in which a node ends its last watch of five seconds, in milliseconds. */
+/** Timeout of tests in which a node waits for the end of a five-second watch, in milliseconds. */
 const watchTimeout = 15_000;
 
 let fleet: GatewayFleet;
@@ -32,13 +32,13 @@
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.listReadyNodes().length === 2));
 }
 
-test('nodes find each other by their registrations, and either one is named to callers', async () => {
+test('nodes discover each other by their registrations, and callers get the addresses of both', async () => {
 	await startTwo();
 	const addresses = await askAddresses(0);
 	expect(addresses.sort()).toEqual(fleet.settings.map(settings => settings.listen.callers).sort());
 });
 
-test('calls at either node are served, whichever decides', async () => {
+test('both nodes serve calls, whichever of them schedules', async () => {
 	await startTwo();
 	const answers = await Promise.all([0, 1].flatMap(node => [
 		fleet.call({path: '/once/'}, node), fleet.call({path: '/stream/', headers: {'cresshook-token-usage': '5000,80'}}, node),
@@ -46,7 +46,7 @@
 	expect(answers.map(answer => [answer.status, answer.isComplete])).toEqual([[200, true], [200, true], [200, true], [200, true]]);
 });
 
-test('a node that hears none of those it was told of does not send all calls to the first server', async () => {
+test('a node that reaches no other node does not send all calls to the first server', async () => {
 	await fleet.start({nodes: 0, runners: ['app', 'app', 'app'].map(service => ({service, behaviour: createTextAnswer('yes')}))});
 	await fleet.addGateway({seeds: ['127.0.1.8:9', '127.0.1.9:9'], isFirstStart: false});
 	await waitUntil(() => fleet.gateways[0].isReady);
@@ -58,7 +58,7 @@
 	expect(fleet.runners.map(runner => runner.receivedRequests.length).filter(seen => seen > 0)).toHaveLength(3);
 });
 
-test('when a node ends without a word, the other serves on at once and alone is named soon', async () => {
+test('when a node crashes, the other keeps serving and soon is the only address for callers', async () => {
 	await startTwo();
 	await fleet.gateways[0].close();
 	const started = Date.now();
@@ -68,7 +68,7 @@
 	await waitUntil(() => fleet.gateways[1].listReadyNodes().length === 1, 3000);
 });
 
-test('a node that stops is no longer named to callers', async () => {
+test('callers no longer get the address of a node that stops', async () => {
 	await startTwo();
 	const stopped = fleet.gateways[0].stop();
 	await waitUntil(() => fleet.gateways[1].listReadyNodes().length === 1, 1000);
@@ -76,7 +76,7 @@
 	await stopped;
 });
 
-test('the ready answer follows the node\'s life', async () => {
+test('the readiness endpoint follows start and stop of the node', async () => {
 	await fleet.start({runners: []});
 	fleet.store.put('servers', 'i-9', {
 		service: 'app', address: '127.0.0.1:9', zone: 'north', version: 'v1', slots: 1, state: 'ready', coldRemainingMs: 0, sequence: 1,
@@ -92,7 +92,7 @@
 	await stopped;
 });
 
-/** At the start each node watches for itself, until it knows the others. */
+/** Whether three watchers are chosen and have all their watches open: at the start every node watches, until it knows the others. */
 function hasChosenWatchers(): boolean {
 	return fleet.gateways.filter(gateway => gateway.isWatcher).length === 3 && fleet.store.waitingWatches === 6;
 }
@@ -106,24 +106,24 @@
 	await waitUntil(hasChosenWatchers, 1000);
 }, watchTimeout);
 
-test('ten nodes that start together for the first time are ready by the view of the one that they were told of', async () => {
+test('ten nodes that start together for the first time become ready with the view of their seed node', async () => {
 	await fleet.start({nodes: 0, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await fleet.startTogether(10);
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.isReady && gateway.listReadyNodes().length === 10), 4000);
-	// A list of each kind and the watches of the one, its registration and its look at the others.
+	// The seed node's lists and watches of each kind, its registration and its lookup of the others.
 	expect(fleet.store.calls.length).toBeLessThanOrEqual(8);
 	await waitUntil(hasChosenWatchers, 6000);
 	fleet.store.put('config', 'main', createConfig(2));
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.state.configVersion === 2), 1500);
 }, watchTimeout);
 
-test('nodes that start for the first time and find none of those that they were told of ask the store themselves', async () => {
+test('nodes that start for the first time and reach no seed node read from the store themselves', async () => {
 	await fleet.start({nodes: 0, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await Promise.all([1, 2].map(async index => fleet.addGateway({index, host: `127.0.2.${index}`, seeds: ['127.0.2.9:9']})));
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.isReady), 6000);
 }, watchTimeout);
 
-test('a node that joins a running fleet lists once and leaves following and registering to others', async () => {
+test('a node that joins a running fleet lists once and neither watches nor registers', async () => {
 	await fleet.start({nodes: 0, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await fleet.startTogether(7);
 	await waitUntil(hasChosenWatchers, 8000);
@@ -142,7 +142,7 @@
 	expect(asked.sort()).toEqual(['GET /v1/objects/config', 'GET /v1/objects/servers']);
 }, watchTimeout);
 
-test('when those that follow the store end, others do', async () => {
+test('other nodes take over when watchers of the store end', async () => {
 	await fleet.start({nodes: 8, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await waitUntil(hasChosenWatchers);
 	const ended = fleet.gateways.filter(gateway => gateway.isWatcher).slice(0, 2);
@@ -153,7 +153,7 @@
 	await waitUntil(() => left.filter(gateway => gateway.isWatcher).length === 3, 4000);
 }, watchTimeout);
 
-test('when all that follow the store end at once, the others take over and know of a change within four seconds', async () => {
+test('when all watchers of the store end at once, other nodes take over and receive a change within four seconds', async () => {
 	await fleet.start({nodes: 8, runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await waitUntil(hasChosenWatchers);
 	const ended = fleet.gateways.filter(gateway => gateway.isWatcher);
@@ -164,14 +164,14 @@
 	await waitUntil(() => left.filter(gateway => gateway.isWatcher).length === 3, 1000);
 }, watchTimeout);
 
-test('a node whose store is away takes a newer configuration from another node', async () => {
+test('a node takes a newer configuration from another node without the store', async () => {
 	await startTwo();
 	const other = fleet.gateways[1];
 	other.state.applyConfig({...other.state.table!.config, version: 99}, 'test');
 	await waitUntil(() => fleet.gateways[0].state.configVersion === 99, 3000);
 });
 
-test('a lost history is read again, and nothing is forgotten meanwhile', async () => {
+test('nodes list again after the store lost its history, and keep their state meanwhile', async () => {
 	await startTwo();
 	fleet.store.put('config', 'main', createConfig(3));
 	fleet.store.forgetHistory();
@@ -181,7 +181,7 @@
 	expect(answer.status).toBe(200);
 });
 
-test('figures are served as text', async () => {
+test('metrics are served as text', async () => {
 	await startTwo();
 	await fleet.call({path: '/once/'});
 	const answer = await send(`${fleet.settings[0].listen.callers.split(':')[0]}:${fleet.settings[0].metrics_port}`, {path: '/metrics', method: 'GET'});
@@ -190,7 +190,7 @@
 	expect(answer.body).toContain('cresshook_config_behind_seconds 0\n');
 });
 
-test('bad heads are refused and never reach a server', async () => {
+test('malformed request heads are rejected and never reach a server', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('no')}]});
 	const [host, port] = fleet.settings[0].listen.callers.split(':');
 	const sendRaw = async (text: string) => sendBytes(host, Number(port), text);
@@ -208,7 +208,7 @@
 	expect(after.body).toBe('no');
 });
 
-test('a body over the limit is refused', async () => {
+test('a body over the limit is rejected', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('no')}]});
 	const answer = await fleet.call({path: '/once/', body: 'a'.repeat(1_000_001)});
 	expect(answer.status).toBe(413);
@@ -216,11 +216,10 @@
 });
 
 /**
- * A retry that had left the only server of a service was refused by the deciding node, truly, and the asking node took
- * that for a node which knows no server: it passed it over for 600 ms for all services and decided by its own view.
- * `decider_passed_over` with "it knows no server" beside `refused` with that server among `excluded` settled it.
+ * Guards against a wrong bypass: the scheduling node rightly refuses a retry that excludes the only server of a service.
+ * The asking node must not conclude that it lacks servers (`decider_passed_over`) and bypass it for 600 ms.
  */
-test('a deciding node that knows only servers which the request has left is not passed over', async () => {
+test('a scheduling node that knows only servers excluded by the request is not bypassed', async () => {
 	const logs = [new LogCapture(), new LogCapture()];
 	fleet.loggers.push(...logs.map(log => createLogger('info', log)));
 	await fleet.start({nodes: 2, runners: [{service: 'app', behaviour: decline}]});
--- a/test/helpers/planned-calls.ts
+++ b/test/helpers/planned-calls.ts
@@ -1,10 +1,10 @@
-/** Calls to a fleet beside planned work, with callers that leave a stream that is silent for too long. */
+/** Calls during planned work, with callers that abandon a stream after a long silence. */
 import type {RequestId} from '../../src/common/index.js';
 import type {CallOutcome, CallRun} from '../../src/gateway/calls/index.js';
 import type {Route} from '../../src/routing/index.js';
 import {RecordingSink, streamRoute, type ScriptedSend} from './scripted-call.js';
 
-/** Routes that calls of the fleet take. */
+/** Routes of the calls. */
 export const plannedRoutes = {
 	stream: {...streamRoute, timeLimit: 10_000},
 	fixedStream: {...streamRoute, timeLimit: 10_000, canResume: false},
@@ -19,10 +19,10 @@
 	},
 } satisfies Record<string, Route>;
 
-/** A call: when and at which node it comes, and what it asks for. */
+/** Specification of a call: arrival time in milliseconds, node, route and size. */
 export type PlannedCallSpec = {at: number; node: number; route: keyof typeof plannedRoutes; promptTokens: number; events: number};
 
-/** One call, its caller and what its servers saw of it. */
+/** A call with its caller and its attempts on servers. */
 export class PlannedCall {
 	readonly id: RequestId;
 	readonly sink = new RecordingSink();
@@ -49,7 +49,7 @@
 		return now >= this.spec.at + this.route.timeLimit;
 	}
 
-	/** The caller leaves a stream that is silent for too long. */
+	/** Makes the caller abandon a stream that has been silent for too long. */
 	watch(now: number): void {
 		if (this.sink.body.length > this.#seenLength) {
 			this.#seenLength = this.sink.body.length;
--- a/test/helpers/planned-fleet.ts
+++ b/test/helpers/planned-fleet.ts
@@ -1,8 +1,8 @@
 /**
- * Calls of several nodes over model servers during planned work, on a virtual clock.
+ * Simulates calls through several nodes to model servers during planned work, on a virtual clock.
  *
- * Calls, planners, views and reservations are the product's. No server breaks an answer off, so an answer under way may
- * end whole, by its caller or by its time, and in no other way.
+ * Calls, planners, views and reservations are the real ones. No server fails, so a started answer may only end complete,
+ * by its caller or by its deadline.
  */
 import {setImmediate as waitForImmediate} from 'node:timers/promises';
 import type {Either} from 'purify-ts';
@@ -27,58 +27,58 @@
 import {createIds, engine} from './planning.js';
 import {ScriptedSend} from './scripted-call.js';
 
-/** Length of a turn, in milliseconds: all times are exact to within it. */
+/** Step of the virtual clock, in milliseconds. */
 const tickLength = 5;
 
-/** Time to a server and back, in milliseconds. */
+/** Round-trip time to a server, in milliseconds. */
 const roundTrip = 2;
 
-/** Time after which a node decides by itself when the deciding one has not answered, in milliseconds. */
+/** Time after which a node schedules by itself without a response of the scheduling node, in milliseconds. */
 const decisionTimeout = 90;
 
-/** Time between the announcement that a server leaves and the loss of its entry, in milliseconds. */
+/** Time from the start of a drain to the removal of the server entry, in milliseconds. */
 const drainTime = 2000;
 
-/** Time a plain server works on a request, in milliseconds. */
+/** Processing time of a request on a plain server, in milliseconds. */
 const plainWorkTime = 90;
 
 const model: ServiceSpec = {name: 'model' as ServiceName, connectionLimit: 99, engine};
 const plain: ServiceSpec = {name: 'plain' as ServiceName, connectionLimit: 99};
 
-/** Planned work and delays; `server` and `node` count around, times are in milliseconds. */
+/** Planned work and delays; `server` and `node` are indexes modulo the number of them, times are in milliseconds. */
 export type PlannedStep = {at: number} & (
-	/** A server states that it leaves, its entry goes, and it works on to the end of what it runs. */
+	/** A server announces that it leaves, its entry is removed, and it completes its running requests. */
 	| {kind: 'drain'; server: number}
-	/** The entry of a server goes without a statement, and the server works on. */
+	/** The entry of a server is removed without an announcement, and the server completes its running requests. */
 	| {kind: 'leave'; server: number}
-	/** An entry goes and comes back. */
+	/** The entry of a server is removed and comes back. */
 	| {kind: 'lapse'; server: number; time: number}
-	/** A new server comes. */
+	/** A new server joins. */
 	| {kind: 'add'; isModel: boolean}
-	/** A server says nothing for a while, and then all that it had to say. */
+	/** A server sends nothing for a while, and then everything that is pending. */
 	| {kind: 'stall'; server: number; time: number}
-	/** The configuration changes; a service may be missing from it. */
+	/** The configuration changes and may omit a service. */
 	| {kind: 'configure'; services: 'all' | 'model' | 'plain'}
-	/** A node reads the whole list of servers anew. */
+	/** A node reloads the whole list of servers. */
 	| {kind: 'list'; node: number}
-	/** The deciding node answers so much later for a while. */
+	/** Responses of the scheduling node are delayed for a while. */
 	| {kind: 'delay'; time: number; by: number}
 );
 
-/** What a fleet starts from. */
+/** Options of a fleet. */
 export type PlannedFleetOptions = {
 	modelServers: number;
 	plainServers: number;
 	nodes: number;
-	/** How many times longer than stated model servers take. */
+	/** Factor by which model servers are slower than stated. */
 	slowdown: number;
-	/** Time until a node knows a change, for each node in turn, in milliseconds. */
+	/** Delay until a node receives a change, in milliseconds; assigned to the nodes in turn. */
 	viewDelays: number[];
 	calls: PlannedCallSpec[];
 	steps: PlannedStep[];
 };
 
-/** Asks the deciding node's planner, or its own node's when that one is late. */
+/** Uses the planner of the scheduling node, or that of its own node when the response is late. */
 class NodePlacer extends Placer {
 	readonly #planners = new Map<PlanId, Planner>();
 
@@ -107,14 +107,14 @@
 		return true;
 	}
 
-	override report(plan: Plan, note: PlanEvent): void {
-		this.#planners.get(plan.planId)?.recordEvent(note, this.fleet.clock.readMonotonic());
+	override report(plan: Plan, event: PlanEvent): void {
+		this.#planners.get(plan.planId)?.recordEvent(event, this.fleet.clock.readMonotonic());
 	}
 
 	override recordLimit(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
 }
 
-/** One node: its view of the fleet and its planners. */
+/** A node with its view of the fleet and its planners. */
 class FleetNode {
 	readonly state: FleetState;
 	readonly placer: NodePlacer;
@@ -148,14 +148,14 @@
 	}
 }
 
-/** Nodes, servers and calls. */
+/** A simulated fleet of nodes, servers and calls. */
 export class PlannedFleet {
 	readonly clock = new VirtualClock();
 	readonly nodes: FleetNode[];
 	readonly calls: PlannedCall[];
-	/** Violations of the promises. */
+	/** Violated guarantees. */
 	readonly violations: string[] = [];
-	/** Added to each answer of the deciding node, in milliseconds. */
+	/** Delay of each response of the scheduling node, in milliseconds. */
 	schedulerDelay = 0;
 	readonly #options: PlannedFleetOptions;
 	readonly #servers: ModelledServer[] = [];
@@ -180,12 +180,12 @@
 		}
 	}
 
-	/** Calls whose callers left after a stream had begun. */
+	/** Calls whose callers left after the stream had started. */
 	get abandonedStreams(): string[] {
 		return this.calls.filter(({hasLeft, sink}) => hasLeft && sink.hasHead).map(({id, spec}) => `${id} (${spec.route})`);
 	}
 
-	/** Plays everything to its end; what was broken is in `broken` then. */
+	/** Runs the simulation until all calls are over and collects `violations`. */
 	async run(): Promise<void> {
 		const {steps} = this.#options;
 		for (const call of this.calls) {
@@ -216,7 +216,7 @@
 		}
 	}
 
-	/** Waits for a time of the fleet's clock. */
+	/** Waits for a time on the virtual clock. */
 	async pause(delay: number): Promise<void> {
 		if (delay > 0) {
 			await new Promise<void>(resolve => {
@@ -278,7 +278,7 @@
 		const now = this.clock.readMonotonic();
 		const hasOtherSpoken = call.sends.some(other => other !== send && other.hasAnswered && other.lastActivityAt >= send.lastActivityAt);
 		if (send.hasArrived && !call.hasLeft && !call.isLate(now) && !hasOtherSpoken) {
-			this.violations.push(`${call.id} (${call.spec.route}) was given up at ${send.server} at ${now}, silent since ${send.lastActivityAt}`);
+			this.violations.push(`${call.id} (${call.spec.route}) was aborted at ${send.server} at ${now}, silent since ${send.lastActivityAt}`);
 		}
 	}
 
@@ -389,7 +389,7 @@
 		});
 	}
 
-	/** Reads the whole list as it stands. */
+	/** Applies the current list of servers to a node. */
 	#reloadServers(node: FleetNode): void {
 		node.state.applyServerList({items: [...this.#entries.values()], revision: this.#revision}, 'source');
 	}
@@ -478,7 +478,7 @@
 		return this.#servers.find(({entry}) => entry.address === address)!;
 	}
 
-	/** A silent server carries out orders and answers late. */
+	/** Sends an order to a server; a stalled server executes it and responds late. */
 	async #ask(address: string, request: BackendRequest, timeout: number): Promise<{status: number; text: string}> {
 		const server = this.#findByAddress(address);
 		await this.pause(roundTrip / 2);
@@ -486,7 +486,7 @@
 		const silence = Math.max(roundTrip / 2, server.silentUntil - this.clock.readMonotonic());
 		await this.pause(Math.min(silence, timeout));
 		if (silence >= timeout) {
-			throw new Error('no answer in time');
+			throw new Error('no response in time');
 		}
 
 		return {status: 200, text};
--- a/test/planned-work.test.ts
+++ b/test/planned-work.test.ts
@@ -1,7 +1,7 @@
 /*
-An answer under way ends whole, by its caller or by its time while no server breaks off, whatever work is planned:
-servers that drain, leave or join, entries that lapse, changes of the configuration, long reads that take longer than
-predicted, servers that are silent for a while, and a deciding node that answers late.
+Unless a server fails, a started answer ends complete, by its caller or by its deadline during any planned work: servers
+that drain, leave or join, entries that lapse, configuration changes, long reads that take longer than predicted, servers
+that pause, and a scheduling node that responds late.
 */
 import process from 'node:process';
 import {expect, test} from '@jest/globals';
@@ -9,7 +9,7 @@
 import {plannedRoutes, type PlannedCallSpec} from './helpers/planned-calls.js';
 import {PlannedFleet, type PlannedFleetOptions, type PlannedStep} from './helpers/planned-fleet.js';
 
-/** Seed of the runs in CI; others by `PLANNED_SEED` and `PLANNED_RUNS`. */
+/** Seed and number of runs in CI; `PLANNED_SEED` and `PLANNED_RUNS` override them. */
 const seed = Number(process.env.PLANNED_SEED ?? 20_261_203);
 const runs = Number(process.env.PLANNED_RUNS ?? 150);
 
@@ -54,7 +54,7 @@
 	steps: fc.array(fc.oneof({weight: 2, arbitrary: arbitraryWork}, {weight: 1, arbitrary: arbitraryStall}), {maxLength: 16, size: 'max'}),
 });
 
-test('planned work ends no answer under way', async () => {
+test('planned work aborts no started answer', async () => {
 	await fc.assert(fc.asyncProperty(arbitraryFleet, async options => {
 		const fleet = new PlannedFleet(options);
 		await fleet.run();
@@ -62,7 +62,7 @@
 	}), {seed, numRuns: runs});
 }, Math.max(120_000, runs * 100));
 
-/** Fleets whose servers work as stated or up to a tenth slower, beside drains, leaves, joins and changes of the configuration. */
+/** Fleets whose servers are at most a tenth slower than stated, with drains, leaves, joins and configuration changes. */
 const arbitrarySteadyFleet = fc.record({
 	modelServers: fc.integer({min: 2, max: 8}),
 	plainServers: fc.constant(1),
@@ -73,7 +73,7 @@
 	steps: fc.array(arbitraryWork.filter(step => step.kind !== 'delay' && (step.kind !== 'configure' || step.services === 'all')), {maxLength: 8, size: 'max'}),
 });
 
-test('planned work and long reads make no caller leave its stream', async () => {
+test('planned work and long reads make no caller abandon its stream', async () => {
 	await fc.assert(fc.asyncProperty(arbitrarySteadyFleet, async options => {
 		const fleet = new PlannedFleet(options);
 		await fleet.run();
--- a/test/retry-budget.test.ts
+++ b/test/retry-budget.test.ts
@@ -4,11 +4,11 @@
 import {GatewayFleet, waitUntil} from './helpers/gateways.js';
 import {createTextAnswer} from './helpers/platform-standins.js';
 
-/** Budget of the test's fleet: retries allowed beside one in five requests. */
+/** Retry budget of the test's fleet: retries allowed on top of one for every five requests. */
 const slack = 20;
 const ratio = 0.2;
 
-/** Time for two restarts of nodes, in milliseconds. */
+/** Timeout for a test with two restarts of the nodes, in milliseconds. */
 const restartsTimeout = 20_000;
 
 let fleet: GatewayFleet;
@@ -21,7 +21,7 @@
 	await fleet.stop();
 });
 
-/** Starts two nodes and makes calls at both, each of which fails at whatever server it meets. */
+/** Starts two nodes and makes calls at both, which fail on every server. */
 async function makeFailingCalls(count: number): Promise<void> {
 	const first = fleet.gateways.length;
 	await Promise.all([first, first + 1].map(async index => fleet.addGateway({index, retrySlack: slack})));
@@ -31,11 +31,9 @@
 	await Promise.all(nodes.map(async node => node.close()));
 }
 
-// Repeats at a service piled up beyond what is allowed within ten seconds. Each process counted for itself what
-// had been spent, and by whom the budget was shared it took from whom it heard: after a start it had spent
-// nothing and was alone. On a fleet of which all nodes start again twice within a window, with every call failing,
-// the nodes spend the budget's parts anew each time.
-test('nodes that start again do not spend the budget of retries once more', async () => {
+// Guards against restarts that reset the retry budget: when each process only counts its own retries, a fleet whose nodes
+// all restart twice within the ten-second window, with every call failing, uses up the budget three times.
+test('restarted nodes do not get a new retry budget', async () => {
 	const failing = createTextAnswer('broken', 500);
 	await fleet.start({nodes: 0, runners: [1, 2].map(() => ({service: 'app', behaviour: failing}))});
 	for (let restart = 0; restart < 3; restart++) {
--- a/test/server-limits.test.ts
+++ b/test/server-limits.test.ts
@@ -1,4 +1,4 @@
-// Backend servers that name a limit on their requests in `Server-Limit`, judged by what arrives there.
+// Backend servers that announce a request limit in `Server-Limit`, checked by the requests that arrive there.
 import {
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
@@ -6,13 +6,13 @@
 import {pause} from './helpers/pause.js';
 import {createAnswerHeaders, type ServerBehaviour} from './helpers/platform-standins.js';
 
-/** Limit for tests with seconds of load, in milliseconds. */
+/** Timeout of tests with seconds of load, in milliseconds. */
 const testTimeout = 60_000;
 
-/** Time from the first answer that names a limit until it has to be kept, in milliseconds. */
+/** Time from the first response with a limit until the limit must be kept, in milliseconds. */
 const propagationTime = 3000;
 
-/** Length of a window, in milliseconds, how far arrivals may exceed the limit in it, and how many may come besides. */
+/** Length of a window in milliseconds, the allowed ratio of arrivals to the limit in it, and a number of arrivals allowed on top. */
 const windowLength = 4000;
 const excess = 1.5;
 const slack = 5;
@@ -20,7 +20,7 @@
 const nodes = 4;
 
 let fleet: GatewayFleet;
-/** Limits by server, in requests a second, and the arrivals at each. */
+/** Limits by server, in requests per second, and arrival times at each. */
 let limits: Map<number, number>;
 let arrivals: Map<number, number[]>;
 
@@ -53,7 +53,7 @@
 	return status;
 }
 
-/** Sends requests at a rate per second, round robin over the nodes, and returns their statuses. */
+/** Sends requests at a rate per second, round-robin over the nodes, and returns their statuses. */
 async function load(rate: number, duration: number): Promise<number[]> {
 	const calls: Array<Promise<number>> = [];
 	const start = Date.now();
@@ -66,7 +66,7 @@
 	return Promise.all(calls);
 }
 
-/** The highest number of arrivals at a server in any window that begins after a moment. */
+/** Counts the maximum number of arrivals at a server in any window that starts at or after `from`. */
 function countMaxInWindow(index: number, from: number): number {
 	const counted = (arrivals.get(index) ?? []).filter(at => at >= from);
 	return Math.max(0, ...counted.map(start => counted.filter(at => at >= start && at < start + windowLength).length));
@@ -76,7 +76,7 @@
 	return Math.floor((limit * windowLength / 1000 * excess) + slack);
 }
 
-test.each([0, 0.5, 1, 10, 50])('the only server, with a limit of %d a second, gets no more than that allows', async limit => {
+test.each([0, 0.5, 1, 10, 50])('the only server, with a limit of %d per second, gets no more requests than allowed', async limit => {
 	await startFleet(1);
 	limits.set(0, limit);
 	const start = Date.now();
@@ -87,7 +87,7 @@
 	expect(new Set(statuses.filter(status => status !== 200))).toEqual(new Set([503]));
 }, testTimeout);
 
-test('requests beyond the limit of one server go to the others', async () => {
+test('requests over the limit of one server go to the others', async () => {
 	await startFleet(3);
 	limits.set(0, 1);
 	const start = Date.now();
@@ -96,7 +96,7 @@
 	expect(statuses.filter(status => status !== 200)).toEqual([]);
 }, testTimeout);
 
-test('a server whose limit is lifted is used in full again within three seconds', async () => {
+test('a server is fully used again within three seconds after its limit is lifted', async () => {
 	await startFleet(1);
 	limits.set(0, 5);
 	await load(20, 5000);
@@ -108,7 +108,7 @@
 	expect(statuses.slice(-40).filter(status => status !== 200)).toEqual([]);
 }, testTimeout);
 
-test('a limit is kept while the deciding node stops', async () => {
+test('a limit is kept while scheduling nodes stop', async () => {
 	await startFleet(2);
 	limits.set(0, 1);
 	limits.set(1, 1);
