--- a/src/gateway/peers/heartbeat.ts
+++ b/src/gateway/peers/heartbeat.ts
@@ -29,7 +29,7 @@
 export type PeerStatus = {
 	/** Whether it accepts calls; false during start and shutdown. */
 	isReady: boolean;
-	/** Whether the configuration source answered the last request of this node. */
+	/** Whether it has a server list and its last request to the source succeeded, or failed long ago. */
 	isSourceReachable: boolean;
 	/** Whether it watches the source and has received answers recently. */
 	hearsSource: boolean;
@@ -42,7 +42,7 @@
 	serversRevision: number;
 	/** Digest of its list of backend servers; equal lists have equal digests. */
 	serversDigest: string;
-	/** Time since any node known to it received data from the source. */
+	/** Milliseconds since any node known to it received data from the source. */
 	sourceAges: SourceAges;
 };
 
