--- a/src/gateway/early-listener.ts
+++ b/src/gateway/early-listener.ts
@@ -1,14 +1,13 @@
 /**
- * A listener that the program's loader opens before the program itself is loaded.
+ * A listener that the loader script opens before the program itself is loaded.
  *
- * Load pattern: all processes are killed and callers come again half a second later, for their second and last
- * try. On a third of a core most of that time goes into loading the program; a port that is open takes their
- * connections meanwhile, one that is closed refuses them.
+ * After all processes are killed, callers retry once, half a second later. On a third of a core loading the program
+ * takes most of that time: an open port queues their connections meanwhile, a closed one refuses them.
  */
 import type {Server as HttpServer} from 'node:http';
 import type {Server, Socket} from 'node:net';
 
-/** What the loader leaves behind: a listening server, and the connections that it has accepted and not read. */
+/** A listening server and the connections that it has accepted but not read. */
 export type EarlyListener = {
 	/** `IP:PORT`. */
 	address: string;
@@ -16,10 +15,10 @@
 	connections: Socket[];
 };
 
-/** Under this name of the global object: loader and program share no module. `scripts/gateway-loader.cjs` has the same. */
+/** Key in the global object, since loader and program share no module; `scripts/gateway-loader.cjs` uses the same. */
 const globalName = Symbol.for('cresshook.early-listener');
 
-/** Takes the early listener of an address, once; undefined when the loader opened none there. */
+/** Takes the early listener of an address, once; undefined when the loader opened none. */
 export function takeEarlyListener(address: string): EarlyListener | undefined {
 	const shared = globalThis as {[globalName]?: EarlyListener};
 	const early = shared[globalName];
@@ -31,7 +30,7 @@
 	return early;
 }
 
-/** Closes an early listener that nobody has taken; returns its address, or undefined when there was none. */
+/** Closes an unused early listener and its connections; returns its address, or undefined when there was none. */
 export function closeEarlyListener(): string | undefined {
 	const shared = globalThis as {[globalName]?: EarlyListener};
 	const early = shared[globalName];
@@ -44,7 +43,7 @@
 	return early?.address;
 }
 
-/** Lets an HTTP server go on with an early listener: its port, and the connections that came before. */
+/** Hands an early listener to an HTTP server: its port and the connections accepted so far. */
 export async function listenOnEarly(server: HttpServer, early: EarlyListener): Promise<void> {
 	await new Promise<void>((resolve, reject) => {
 		server.once('error', reject);
--- a/src/gateway/gateway-metrics.ts
+++ b/src/gateway/gateway-metrics.ts
@@ -1,15 +1,15 @@
-/** Counters and latency histograms of a gateway, in Prometheus' text form. */
+/** Counters and latency histograms of a gateway, in Prometheus' text format. */
 import {
 	Counter, Gauge, Histogram, Registry,
 } from 'prom-client';
 
-/** Upper bounds of latency buckets, in seconds: from a plain service's answer to the longest prompts. */
+/** Upper bounds of latency buckets, in seconds: from answers of simple services to the longest prompts. */
 const latencyBuckets = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 1.5, 3, 5, 10, 15];
 
-/** Upper bounds of the buckets for times inside the gateway, in seconds. */
+/** Upper bounds of the buckets for placement times, in seconds. */
 const placementBuckets = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1];
 
-/** What a gateway counts. */
+/** Metrics of one gateway node. */
 export class GatewayMetrics {
 	readonly #registry = new Registry();
 	readonly #calls = new Counter({
@@ -52,47 +52,47 @@
 		name: 'cresshook_state', help: 'what the node believes: configuration version, live nodes, servers, calls in progress', labelNames: ['what'], registers: [this.#registry],
 	});
 
-	/** Counts the end of a call. */
+	/** Counts a finished call. */
 	countCall(service: string, outcome: string): void {
 		this.#calls.inc({service, outcome});
 	}
 
-	/** Notes the time to the first event, in milliseconds; `length` is the class of the prompt. */
+	/** Records the time to the first event, in milliseconds; `length` is the length class of the prompt. */
 	recordFirstEvent(service: string, length: string, time: number): void {
 		this.#firstEventTime.observe({service, length}, time / 1000);
 	}
 
-	/** Notes the time to get a place, in milliseconds. */
+	/** Records the time that a placement took, in milliseconds. */
 	recordPlacement(decidedBy: string, time: number): void {
 		this.#placementTime.observe({decided_by: decidedBy}, time / 1000);
 	}
 
-	/** Counts a retry, or one that was not allowed. */
+	/** Counts a retry that was sent, or one that the budget refused. */
 	countRetry(service: string, result: 'sent' | 'budget_spent'): void {
 		this.#retries.inc({service, result});
 	}
 
-	/** Counts trouble with a backend server. */
+	/** Counts a fault of a backend server. */
 	countTrouble(service: string, trouble: string): void {
 		this.#troubles.inc({service, trouble});
 	}
 
-	/** Counts a request that a server ran when it ended. */
+	/** Counts a request that was running on a backend server when the server ended. */
 	countServerEnd(service: string): void {
 		this.#serverEnds.inc({service});
 	}
 
-	/** Counts connections that were left because one was silent. */
+	/** Counts the abandoning of kept connections because one was unresponsive. */
 	countAbandonedConnections(kind: string): void {
 		this.#abandonedConnections.inc({kind});
 	}
 
-	/** Sets for how long a newer configuration than the node's own has been known of, in milliseconds. */
+	/** Sets the time for which a newer configuration than the node's has been known to exist, in milliseconds. */
 	setConfigLag(lag: number): void {
 		this.#configLag.set(lag / 1000);
 	}
 
-	/** Sets how long ago the source was heard, in milliseconds; undefined when it was not. */
+	/** Sets the time since the source last answered, in milliseconds; undefined when it never has. */
 	setSourceAge(items: string, by: 'node' | 'fleet', age: number | undefined): void {
 		if (age === undefined) {
 			this.#sourceAge.remove({items, by});
@@ -101,12 +101,12 @@
 		}
 	}
 
-	/** Sets what the node believes. */
+	/** Sets a gauge of the node's state. */
 	setState(what: string, value: number): void {
 		this.#state.set({what}, value);
 	}
 
-	/** All figures as text. */
+	/** All metrics in Prometheus' text format. */
 	async formatText(): Promise<string> {
 		return this.#registry.metrics();
 	}
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,8 +1,8 @@
 /**
- * A gateway node: the root of everything one process of the routed path does.
+ * A gateway node: creates and wires the components of one gateway process.
  *
- * It follows the configuration and the backend servers, takes callers' requests, gets
- * their places from whichever node decides, and passes them on.
+ * It follows the configuration and the backend servers, accepts callers' requests, has the
+ * node that schedules a service place them, and proxies them to backend servers.
  */
 import {
 	Supervisor, waitFor, type AvailabilityZone, type BoxId, type Clock,
@@ -32,7 +32,7 @@
 } from './servers.js';
 import type {GatewayWire} from './wire.js';
 
-/** What a gateway is made from. */
+/** Dependencies of a gateway. */
 export type GatewayParts = {
 	settings: GatewaySettings;
 	source: FleetSource;
@@ -40,20 +40,20 @@
 	clock: Clock;
 	ids: IdSource;
 	logger: Logger;
-	/** Uniform random numbers from 0 up to 1. */
+	/** Uniform random numbers in [0, 1). */
 	random: () => number;
 };
 
-/** Share of the grace after which a stopping node ends whatever goes on. */
+/** Share of the grace period after which a stopping node cuts off calls in progress. */
 const forceStopShare = 0.9;
 
-/** Share of the grace for which a stopping node takes new calls at most: what is left must do for their answers. */
+/** Maximum share of the grace period for which a stopping node accepts new calls: the rest is needed for their answers. */
 const acceptShare = 0.375;
 
-/** Pause between looks at whether calls have ended, in milliseconds. */
+/** Interval between checks whether all calls have ended, in milliseconds. */
 const drainPollInterval = 50;
 
-/** Letters of a life: enough that no two among thousands are alike by chance. */
+/** Length of an incarnation id, in characters: makes a collision among thousands improbable. */
 const incarnationLength = 6;
 
 /** One gateway process. */
@@ -179,27 +179,27 @@
 		});
 	}
 
-	/** Whether calls are taken and can be served. */
+	/** Whether the node accepts calls and can serve them. */
 	get isReady(): boolean {
 		return !this.#isStopping && this.state.isUsable;
 	}
 
-	/** Whether this node is one of those that follow the source. */
+	/** Whether this node is one of those that watch the source. */
 	get isWatcher(): boolean {
 		return this.#views.isWatcher;
 	}
 
-	/** Settles when the node's parts have ended; rejects when one failed past its restart budget. */
+	/** Resolves when all supervised components have ended; rejects when one has exceeded its restart budget. */
 	get running(): Promise<void> {
 		return this.#running ?? Promise.resolve();
 	}
 
-	/** Live nodes that take calls, this one among them when it does. */
+	/** Live nodes that are ready for calls, this one included when it is. */
 	listReadyNodes(): Peer[] {
 		return this.#peers.listReady();
 	}
 
-	/** Opens the listeners and starts every part. */
+	/** Opens the listeners and starts all components. */
 	async start(): Promise<void> {
 		const {settings, wire} = this.#parts;
 		const host = findHost(settings);
@@ -223,12 +223,12 @@
 		}, this.#supervisorStop.signal);
 	}
 
-	/** What of changed settings this node would take over. */
+	/** Tells which of the changed settings would take effect at once. */
 	compareSettings(changed: GatewaySettings): SettingsChange {
 		return compareSettings(this.#parts.settings, changed);
 	}
 
-	/** Takes over what a running node can of changed settings. */
+	/** Applies those changed settings that a running node can. */
 	changeSettings(changed: GatewaySettings): void {
 		const {inForce, taken} = this.compareSettings(changed);
 		this.#parts.settings = inForce;
@@ -241,29 +241,29 @@
 	}
 
 	/**
-	 * Stops as planned.
+	 * Stops gracefully.
 	 *
-	 * The node leaves the address answers at once, but serves those who still come until the
-	 * answers that name it have run out. Then it closes its door, so that nobody comes too
-	 * late to be served, and ends when no call is left or the grace is over.
+	 * The node is removed from address answers at once, but accepts calls until the answers that
+	 * list it have expired. Then it stops accepting, so that no call arrives too late to be
+	 * served, and ends when no call is left or the grace period is over.
 	 */
 	async stop(): Promise<void> {
 		const {clock, logger, settings} = this.#parts;
 		this.#isStopping = true;
 		const stoppingSince = clock.readMonotonic();
 		const grace = settings.stop.grace_seconds * 1000;
-		logger.info({event: 'stopping', calls: this.#calls.inProgress}, 'the node leaves; calls in progress are served on');
+		logger.info({event: 'stopping', calls: this.#calls.inProgress}, 'the node is stopping; calls in progress continue');
 		await waitFor(clock, Math.min(this.#addressLifetime.computeRemaining(), grace * acceptShare));
 		this.#stopAccepting();
 		while (this.#calls.inProgress > 0 && clock.readMonotonic() < stoppingSince + (grace * forceStopShare)) {
 			await waitFor(clock, drainPollInterval);
 		}
 
-		logger.info({event: 'stopped', cutOff: this.#calls.inProgress, took: Math.round(clock.readMonotonic() - stoppingSince)}, 'the node ends');
+		logger.info({event: 'stopped', cutOff: this.#calls.inProgress, took: Math.round(clock.readMonotonic() - stoppingSince)}, 'the node shuts down');
 		await this.close();
 	}
 
-	/** Ends at once. */
+	/** Stops immediately; calls in progress are cut off. */
 	async close(): Promise<void> {
 		this.#supervisorStop.abort();
 		await Promise.allSettled([this.#running]);
@@ -296,7 +296,7 @@
 		return this.#viewResponder.takeConfig(known);
 	}
 
-	/** Takes no new connections, and closes kept ones that are at rest; those at work close with their answers. */
+	/** Accepts no new connections and closes idle ones; busy ones close after their answers. */
 	#stopAccepting(): void {
 		const callers = this.#servers.at(-1)?.server;
 		callers?.close();
@@ -304,7 +304,7 @@
 	}
 
 	#listAddresses(zone: AvailabilityZone): {addresses: string[]; lifetime: number} {
-		// A node that hears nobody and cannot reach its source is more likely cut off itself than alone.
+		// A node without live peers that cannot reach its source is more likely partitioned than the only one left.
 		const isCutOff = this.#peers.listLive().length === 0 && !this.state.isSourceReachable;
 		const candidates = [...this.#peers.listReady(), ...(isCutOff ? this.#peers.listKnown().filter(peer => peer.isReady) : [])];
 		return {addresses: listCallerAddresses(candidates, zone), lifetime: this.#addressLifetime.seconds};
@@ -379,7 +379,7 @@
 		}
 	}
 
-	/** What is done at each heartbeat. */
+	/** Periodic work, done at each heartbeat. */
 	#tick(): void {
 		this.#pool.prune();
 		this.#placer.tick();
@@ -393,7 +393,7 @@
 		this.metrics.setState('calls', this.#calls.inProgress);
 	}
 
-	/** Time limits of the configuration hold for new connections at once. */
+	/** Applies the configuration's timeouts to new connections. */
 	#applyLimits(): void {
 		const limits = this.state.table?.config.limits;
 		const callers = this.#servers.at(-1)?.server;
@@ -404,12 +404,12 @@
 	}
 }
 
-/** Whether the other nodes were told of this one. */
+/** Whether the settings list this node as a seed. */
 function isSeed(settings: GatewaySettings): boolean {
 	return settings.seeds.some(seed => seed.split(':')[0] === findHost(settings));
 }
 
-/** The nodes that the settings name, this one among them. */
+/** Number of nodes that the settings list, this one included. */
 function countConfiguredNodes(settings: GatewaySettings): number {
 	return new Set([findHost(settings), ...settings.seeds.map(seed => seed.split(':')[0])]).size;
 }
--- a/src/gateway/node-status.ts
+++ b/src/gateway/node-status.ts
@@ -1,44 +1,44 @@
 /**
- * How a node stands, for operators: who decides, who lives, which versions, what runs where.
+ * Status of a node for operators: scheduling nodes, live nodes, versions and the work on each server.
  *
- * It reads what is in memory and asks nobody, is bounded in size, and is made anew a few
- * times a second at most: who asks for it in a loop must not hold up those who are served.
+ * It is read from memory without calls to other nodes, bounded in size and cached, so that
+ * polling it cannot slow down the serving of calls.
  */
 import type {AvailabilityZone, BoxId, Clock} from '../common/index.js';
 import {followedKinds, type FleetState, type FollowedKind} from '../routing/index.js';
 import type {ServiceWork, FleetPlacer} from './scheduling/index.js';
 import type {Peer, Peers, PeerView} from './peers/index.js';
 
-/** Path of the page, on the metrics listener. */
+/** Path of the status on the metrics listener. */
 export const statusPath = '/status';
 
-/** How long one reading is told, in milliseconds. */
+/** Time for which a status is cached, in milliseconds. */
 const cacheTime = 250;
 
-/** Most nodes, services and servers of all services that are told one by one: some hundred kilobytes. */
+/** Maximum number of nodes, of services, and of servers over all services that are listed: a few hundred kilobytes. */
 const maxNodes = 400;
 const maxServices = 64;
 const maxServers = 512;
 
-/** Another node, or this one. */
+/** Status of one node, this or another. */
 export type NodeSummary = {
 	name: BoxId;
 	life: string;
 	availabilityZone: AvailabilityZone;
 	isReady: boolean;
 	isSourceReachable: boolean;
-	/** What it told last. */
+	/** Versions from its last heartbeat. */
 	configVersion?: number;
 	serversRevision?: number;
 };
 
-/** How a node stands. `omitted` counts what did not fit. */
+/** Status of a node; `omitted` counts entries over the maximum. */
 export type NodeStatus = {
 	node: NodeSummary;
 	phase: 'starting' | 'ready' | 'stopping';
 	isWatcher: boolean;
 	isSourceOut: boolean;
-	/** Milliseconds since the source was heard: by this node where it follows it, and by any node it knows of. */
+	/** Milliseconds since the source last answered: this node, if it watches it, and any node in the fleet. */
 	sources: Array<{items: FollowedKind; heardHere?: number; heardByAny?: number}>;
 	/** Calls in progress at this node. */
 	calls: number;
@@ -48,7 +48,7 @@
 	omitted: {services: number; nodes: number};
 };
 
-/** What is read. */
+/** Dependencies of the status reader. */
 export type StatusParts = {
 	clock: Clock;
 	state: FleetState;
@@ -60,10 +60,10 @@
 	countCalls: () => number;
 };
 
-/** Reads how this node stands. */
+/** Builds and caches the status of this node. */
 export class StatusReader {
 	readonly #parts: StatusParts;
-	/** The view that each box told last; a box that starts again takes its own place. */
+	/** Last announced view by box; a restarted box replaces its own entry. */
 	readonly #views = new Map<BoxId, PeerView>();
 	#text = '';
 	#readAt = -Infinity;
@@ -72,12 +72,12 @@
 		this.#parts = parts;
 	}
 
-	/** Notes how new the view of another node is. */
+	/** Records the view that another node announces. */
 	recordView({name}: Peer, view: PeerView): void {
 		this.#views.set(name, view);
 	}
 
-	/** How the node stands, as JSON. */
+	/** Status of the node as JSON. */
 	formatText(): string {
 		const now = this.#parts.clock.readMonotonic();
 		if (now - this.#readAt >= cacheTime) {
--- a/src/gateway/servers.ts
+++ b/src/gateway/servers.ts
@@ -11,22 +11,22 @@
 import type {GatewayMetrics} from './gateway-metrics.js';
 import type {GatewayWire} from './wire.js';
 
-/** Largest request head, in bytes: above what any configuration allows, which is checked apart. */
+/** Maximum size of a request head, in bytes: above any configurable limit, which is checked separately. */
 const maxHeadBytes = 65_536;
 
-/** Largest message between nodes, in bytes: a view of the fleet. */
+/** Maximum size of a message between nodes, in bytes; the largest is a view of the fleet. */
 const maxPeerMessageBytes = 16 * 1024 * 1024;
 
-/** Time for a request head before a configuration states one, in milliseconds. */
+/** Timeout for a request head until a configuration sets one, in milliseconds. */
 const defaultHeadTimeout = 5000;
 
-/** How long an idle connection is kept before a configuration states it, in milliseconds. */
+/** Time for which an idle connection is kept until a configuration sets one, in milliseconds. */
 const defaultIdleTimeout = 15_000;
 
-/** How long an idle connection between nodes is kept, in milliseconds. */
+/** Time for which an idle connection between nodes is kept, in milliseconds. */
 const peerIdleTimeout = 60_000;
 
-/** A listener: its framework instance is closed by the gateway. */
+/** A Fastify instance that listens; the gateway closes it. */
 export type OpenServer = FastifyInstance;
 
 function createServer(bodyLimit: number, idleTime = defaultIdleTimeout): OpenServer {
@@ -52,7 +52,7 @@
 	return server;
 }
 
-/** What the callers' listener calls. */
+/** Dependencies of the callers' listener. */
 export type CallersContext = {
 	wire: GatewayWire;
 	isStopping: () => boolean;
@@ -60,10 +60,10 @@
 	serve: (request: IncomingMessage, body: Uint8Array | undefined, sink: HttpSink, response: ServerResponse) => Promise<void>;
 };
 
-/** Largest body while no configuration states a limit, in bytes. */
+/** Maximum size of a body until a configuration sets one, in bytes. */
 export const defaultBodyLimit = 4 * 1024 * 1024;
 
-/** Lets a caller go that falls silent within its body: its connection and what has come of the body would be kept for good. A slow caller is not silent. */
+/** Closes the connection of a caller that stops sending within its body; otherwise the connection and the partial body would be kept indefinitely. A slow caller is not affected. */
 function limitBodyIdleTime(server: OpenServer): void {
 	server.addHook('onRequest', (request, _reply, done) => {
 		request.raw.setTimeout(server.server.keepAliveTimeout);
@@ -75,7 +75,7 @@
 	});
 }
 
-/** Opens the callers' listener. Bodies are taken whole, whatever their type. */
+/** Opens the callers' listener. Bodies are buffered whole, whatever their content type. */
 export async function openCallersServer(address: string, context: CallersContext): Promise<OpenServer> {
 	const server = createServer(defaultBodyLimit * 4);
 	server.removeAllContentTypeParsers();
@@ -104,17 +104,17 @@
 	return listen(server, address);
 }
 
-/** Opens the listener that says whether the node is ready. */
+/** Opens the listener of the readiness check. */
 export async function openReadyServer(address: string, wire: GatewayWire, isReady: () => boolean): Promise<OpenServer> {
 	const server = createServer(maxHeadBytes);
 	server.get(wire.readyPath, async (_request, reply) => reply.code(isReady() ? 200 : 503).send());
 	return listen(server, address);
 }
 
-/** Addresses for callers and how long they may be kept, in seconds. */
+/** Addresses for callers, and the time in seconds for which they may be cached. */
 export type AddressList = {addresses: string[]; lifetime: number};
 
-/** Opens the listener that says which addresses to use. */
+/** Opens the listener that resolves the addresses of gateway nodes. */
 export async function openAddressServer(address: string, wire: GatewayWire, listAddresses: (zone: AvailabilityZone) => AddressList): Promise<OpenServer> {
 	const server = createServer(maxHeadBytes);
 	server.get(wire.addressPath, async (request, reply) => {
@@ -138,7 +138,7 @@
 	return listen(server, address);
 }
 
-/** Opens the listener for metrics, and beside them how the node stands. */
+/** Opens the listener for metrics and the status. */
 export async function openMetricsServer(address: string, metrics: GatewayMetrics, formatStatus: () => string): Promise<OpenServer> {
 	const server = createServer(maxHeadBytes);
 	server.get('/metrics', async (_request, reply) => reply.type(metrics.contentType).send(await metrics.formatText()));
--- a/src/gateway/settings-change.ts
+++ b/src/gateway/settings-change.ts
@@ -1,24 +1,24 @@
-/** What of changed settings a running node takes over, and what waits for its next start. Pure. */
+/** Splits changed settings into those that apply at run time and those that need a restart. Pure. */
 import type {GatewaySettings} from './gateway-settings.js';
 
 /**
- * Keys that a running node takes over, as written in the file.
+ * Keys that can change at run time, as written in the file.
  *
- * The others are what a node is to the rest of the fleet, or what listeners were opened and
- * memory was counted by: `retry.window_seconds` too, since what lies further back than the old window is forgotten.
+ * The others identify the node to the fleet, or are tied to open listeners and recorded history: `retry.window_seconds`
+ * too, since records older than the previous window have been discarded.
  */
 const reloadableKeys = new Set(['address_lifetime_seconds', 'log.level', 'retry.ratio', 'retry.slack', 'seeds', 'stop.grace_seconds']);
 
-/** A change of settings. */
+/** Effect of a change of settings. */
 export type SettingsChange = {
-	/** The settings in force from now on. */
+	/** The settings in force after the change. */
 	inForce: GatewaySettings;
-	/** Keys that are taken over, and those that wait for the next start. */
+	/** Changed keys that are in force, and those that take effect at the next start. */
 	taken: string[];
 	waiting: string[];
 };
 
-/** Compares what is in force with a changed file. */
+/** Compares the settings in force with changed ones. */
 export function compareSettings(current: GatewaySettings, changed: GatewaySettings): SettingsChange {
 	const [before, after] = [listKeys(current), listKeys(changed)];
 	const differing = [...new Set([...before.keys(), ...after.keys()])].filter(key => before.get(key) !== after.get(key)).sort();
@@ -36,7 +36,7 @@
 	};
 }
 
-/** The values by their keys, those of tables as `table.key`. */
+/** Values as JSON by key; keys in tables are written `table.key`. */
 function listKeys(settings: GatewaySettings): Map<string, string> {
 	return new Map(Object.entries(settings).flatMap(([key, value]) => typeof value === 'object' && !Array.isArray(value)
 		? Object.entries(value).map(([inner, item]): [string, string] => [`${key}.${inner}`, JSON.stringify(item)])
--- a/src/gateway/settings-reloader.ts
+++ b/src/gateway/settings-reloader.ts
@@ -1,34 +1,35 @@
-/** Reads a node's settings file again, on a signal and when it changes, and says what came of it. */
+/** Reloads a node's settings file on a signal and when the file changes, and logs the result. */
 import {stat} from 'node:fs/promises';
 import {waitFor, type Clock, type Logger} from '../common/index.js';
 import {formatProblem} from '../settings/index.js';
 import {loadGatewaySettings, type GatewaySettings} from './gateway-settings.js';
 import type {SettingsChange} from './settings-change.js';
 
-/** Pause between two looks at the file, in milliseconds: a change counts when two looks in a row find the same, since a file may be written in parts. */
+/** Interval between two polls of the file, in milliseconds: a change counts once two polls in a row find the same state, since a file may be written in parts. */
 const pollInterval = 2000;
 
-/** What a reloader needs. */
+/** Dependencies of a reloader. */
 export type SettingsReloaderParts = {
 	path: string;
 	clock: Clock;
 	logger: Logger;
-	/** What a change would bring, and the change itself. */
+	/** Determines the effect of changed settings without applying them. */
 	compare: (changed: GatewaySettings) => SettingsChange;
+	/** Applies the settings that can change at run time. */
 	change: (changed: GatewaySettings) => void;
 };
 
-/** Takes over what a running node can. */
+/** Reloads the settings file and applies what can change at run time. */
 export class SettingsReloader {
 	readonly #parts: SettingsReloaderParts;
-	/** The file as it was read last, so that a change that a signal has told of is not told again. */
+	/** State of the file at the last reload, so that a reload by signal is not repeated by the poll. */
 	#appliedStamp: string | undefined;
 
 	constructor(parts: SettingsReloaderParts) {
 		this.#parts = parts;
 	}
 
-	/** Reads the file and takes over what can be; a wrong file changes nothing. */
+	/** Reads the file and applies the settings that can change; an invalid file changes nothing. */
 	async reload(cause: 'signal' | 'file'): Promise<void> {
 		this.#appliedStamp = await this.#readStamp();
 		const loaded = await loadGatewaySettings(this.#parts.path);
@@ -36,7 +37,7 @@
 			Left: problems => {
 				this.#parts.logger.error({
 					event: 'reload_refused', cause, problems: problems.map(problem => formatProblem(problem)),
-				}, 'the changed settings file is wrong; the old settings stay in force');
+				}, 'the changed settings file is invalid; the old settings stay in force');
 			},
 			Right: changed => {
 				this.#applyChange(changed, cause);
@@ -44,7 +45,7 @@
 		});
 	}
 
-	/** Looks at the file until the signal is aborted. A file that is gone is no change: it may be put in place again. */
+	/** Polls the file until the signal is aborted. A missing file is no change, as it may be about to be replaced. */
 	async watch(signal: AbortSignal): Promise<void> {
 		this.#appliedStamp = await this.#readStamp();
 		let previous = this.#appliedStamp;
@@ -68,7 +69,7 @@
 			}, describeReload(taken, waiting));
 		};
 
-		// The level itself may be what changes: the line is written at the one that shows it.
+		// The log level itself may change: the line is written while the level allows it.
 		if (logger.isLevelEnabled('info')) {
 			logReload();
 			change(changed);
@@ -93,5 +94,5 @@
 		return taken.length === 0 ? 'the changed settings take effect at the next start; start the node again' : 'a part of the changed settings is in force; the rest takes effect at the next start';
 	}
 
-	return taken.length === 0 ? 'the settings file says what is in force' : 'the changed settings are in force';
+	return taken.length === 0 ? 'the settings file matches the settings in force' : 'the changed settings are in force';
 }
--- a/src/gateway/wire.ts
+++ b/src/gateway/wire.ts
@@ -1,7 +1,7 @@
 /**
- * What a gateway needs to know of the protocols on both sides; adapters implement it.
+ * Interface to the wire formats on both sides of a gateway; adapters implement it.
  *
- * Nothing here waits or decides: heads are read into typed values and written from them.
+ * Implementations only convert between message heads and typed values; they do no I/O and make no decisions.
  */
 import type {Either} from 'purify-ts';
 import type {
@@ -13,7 +13,7 @@
 
 /** The head of a caller's request. */
 export type CallHead = {
-	/** The caller's own id of this attempt. */
+	/** The caller's id of this attempt. */
 	requestId: RequestId;
 	method: string;
 	/** Path and query as sent. */
@@ -21,76 +21,76 @@
 	host: string;
 	/** Secret key of the caller, when it sent one. */
 	key?: string;
-	/** How long the caller waits, in milliseconds; undefined when it does not say. */
+	/** Time for which the caller waits, in milliseconds; undefined when it states none. */
 	timeLeft?: number;
-	/** The last event a caller has from an earlier stream. */
+	/** Id of the last event received by the caller from an earlier stream. */
 	lastEventId?: number;
-	/** Tokens of the prompt, and the most of the answer; 0 when it names none. */
+	/** Tokens of the prompt, and maximum tokens of the answer; 0 when unstated. */
 	promptTokens: number;
 	outputTokens: number;
-	/** Fields to pass on: all but those of one connection and those the gateway writes itself. */
+	/** Header fields to forward: all except hop-by-hop fields and those that the gateway sets. */
 	headers: HeaderFields;
 };
 
-/** What is sent along with a request to a backend server. */
+/** The head of a request to a backend server. */
 export type BackendRequestHead = {
 	call: CallHead;
 	serverName: BackendServerName;
 	organisation?: OrganisationId;
-	/** Milliseconds after which the answer is no longer wanted. */
+	/** Time after which the answer is no longer needed, in milliseconds. */
 	timeLeft: number;
-	/** The event after which a stream goes on. */
+	/** Id of the event after which a stream resumes. */
 	lastEventId?: number;
-	/** Servers that read parts of the prompt, with the reservations of memory there. */
+	/** Servers that process parts of the prompt, with their memory reservations. */
 	helpers: HelperAddress[];
 	/** 0 is the most urgent, 9 the least. */
 	urgency?: number;
 };
 
-/** A server that helps to read: its address, and the name of the memory reserved there. */
+/** Address of a server that processes part of a prompt, and the name of its memory reservation. */
 export type HelperAddress = {address: string; reservation?: string};
 
 /** The head of a backend server's answer. */
 export type ResponseHead = {
 	status: number;
-	/** Id of the request that the answer belongs to; undefined when it does not say. */
+	/** Id of the request that the answer belongs to; undefined when it states none. */
 	requestId?: RequestId;
-	/** Whether it bears the mark that every true answer of a backend server has. */
+	/** Whether it carries the seal that marks genuine answers of backend servers. */
 	isSigned: boolean;
 	/** Whether the server states that it did not run the request. */
 	isDeclined: boolean;
-	/** Whether the head says how the body ends; otherwise it ends with the connection, and whether it is whole cannot be told. */
+	/** Whether the head frames the body; otherwise the body ends with the connection, and truncation cannot be detected. */
 	isFramed: boolean;
-	/** Whether the body is encoded, which no true answer is. */
+	/** Whether the body has a content encoding, which genuine answers never have. */
 	isEncoded: boolean;
-	/** Requests a second that the server takes from all nodes together; undefined when it names no limit. */
+	/** Rate limit of the server for all nodes together, in requests per second; undefined when it states none. */
 	requestLimit?: number;
-	/** Address of the helping server at fault, where it is not the server asked. */
+	/** Address of the helper at fault, when the failure is not the answering server's own. */
 	faultyAddress?: string;
-	/** Fields to pass on to the caller. */
+	/** Header fields to forward to the caller. */
 	headers: HeaderFields;
 };
 
-/** An order to set memory aside, renew or free it. */
+/** A command to reserve memory on a backend server, to renew a reservation or to release it. */
 export type ReservationOrder =
 	| {kind: 'reserve'; reservation: string; tokens: number; holdFor: number}
 	| {kind: 'release'; reservation: string};
 
-/** A request that carries an order. */
+/** The HTTP request of a reservation command. */
 export type OrderMessage = {method: 'POST'; path: string; headers: HeaderFields; body: string};
 
-/** How memory that was set aside is used; undefined when there is none, or it is not known. */
+/** Whether reserved memory is in use; undefined when there is no such reservation or it is unknown. */
 export type ReservationUse = 'used' | 'unused' | undefined;
 
-/** How heads are read and written. */
+/** Reads and writes the message heads of one platform. */
 export abstract class GatewayWire {
-	/** Path at which the gateway says whether it is ready. */
+	/** Path of the gateway's readiness check. */
 	abstract readonly readyPath: string;
 
-	/** Path at which it says which addresses to use. */
+	/** Path at which callers resolve the addresses of gateway nodes. */
 	abstract readonly addressPath: string;
 
-	/** Path at which a backend server reports on the memory that is set aside. */
+	/** Path at which a backend server reports its memory reservations. */
 	abstract readonly reportPath: string;
 
 	/** Reads the head of a caller's request. */
@@ -102,18 +102,18 @@
 	/** Reads the head of a backend server's answer. */
 	abstract readResponseHead(status: number, headers: HeaderFields): ResponseHead;
 
-	/** Writes an order to a backend server. */
+	/** Writes a reservation command for a backend server. */
 	abstract formatOrder(order: ReservationOrder): OrderMessage;
 
-	/** Reads from such a report how a reservation is used. */
+	/** Reads the use of a reservation from the report of a backend server. */
 	abstract readReservationUse(report: string, reservation: string): ReservationUse;
 
-	/** Fields of an answer of the gateway's own. */
+	/** Header fields of an error response of the gateway itself. */
 	abstract formatFailureHeaders(failure: Failure, requestId: RequestId | undefined): HeaderFields;
 
-	/** Availability zone of whoever asks for addresses. */
+	/** Availability zone of a caller that resolves addresses. */
 	abstract readCallerZone(query: Record<string, string | undefined>): AvailabilityZone;
 
-	/** Body of the answer to such a question; `lifetime` in seconds. */
+	/** Body of the address answer; `lifetime` in seconds. */
 	abstract formatAddresses(addresses: string[], lifetime: number): string;
 }
--- a/test/helpers/gateways.ts
+++ b/test/helpers/gateways.ts
@@ -1,4 +1,4 @@
-/** Gateway nodes over loopback, before stand-ins for the platform's store and runners. */
+/** Gateway nodes on loopback addresses, with stand-ins for the platform's store and runners. */
 import {request as sendRequest} from 'node:http';
 import {createServer, type AddressInfo, type Server} from 'node:net';
 import {CallWire, PlatformSource} from '../../platform/index.js';
@@ -9,7 +9,7 @@
 import {processHost} from './process-host.js';
 import {StandinServer, StandinStore, type ServerBehaviour} from './platform-standins.js';
 
-/** Figures of a model server, as the platform writes them. */
+/** Performance model of a model server, in the platform's format. */
 export const engineSpec = {
 	slots: 11,
 	kvCapacityTokens: 315_000,
@@ -24,7 +24,7 @@
 	usual: {prompt: 11_112, answer: 1622},
 };
 
-/** A configuration with one route of each kind. */
+/** Creates a configuration with one route of each kind. */
 export function createConfig(version: number, changes: Record<string, unknown> = {}): Record<string, unknown> {
 	const common = {
 		host: 'shop.example', priority: 1, allowAnonymous: false, targetLatencyMs: 300,
@@ -51,26 +51,26 @@
 	};
 }
 
-/** An answer as a caller saw it. */
+/** A response as received by a caller. */
 export type ReceivedResponse = {
 	status: number;
 	headers: Record<string, string | string[] | undefined>;
 	body: string;
-	/** Whether the answer ended as complete. */
+	/** Whether the whole body was received. */
 	isComplete: boolean;
 };
 
-/** A call of a test. */
+/** A request of a test. */
 export type TestCall = {
 	path: string;
 	method?: string;
 	headers?: Record<string, string>;
 	body?: string;
-	/** Closes the connection after so many milliseconds. */
+	/** Time after which the connection is closed, in milliseconds. */
 	abortAfter?: number;
 };
 
-/** Where a node listens, and what it is told of the others. */
+/** Options of a gateway node. */
 type NodeOptions = {
 	index?: number;
 	ports?: number[];
@@ -78,15 +78,15 @@
 	seeds?: string[];
 	isFirstStart?: boolean;
 	retrySlack?: number;
-	/** Where it reaches the store, when there is a link before it. */
+	/** Address of the store as seen by the node; differs from the store's own behind a link. */
 	storeAddress?: string;
 };
 
 let callCount = 0;
 
-/** Nodes, a store and runners of one test. */
+/** The gateway nodes, the store and the runners of one test. */
 export class GatewayFleet {
-	/** Loggers of nodes by their index; others are silent. */
+	/** Loggers by index of the node; nodes without one do not log. */
 	readonly loggers: Logger[] = [];
 	readonly store = new StandinStore();
 	readonly gateways: Gateway[] = [];
@@ -94,7 +94,7 @@
 	readonly runners: StandinServer[] = [];
 	#ports: number[] = [];
 
-	/** Starts the store with a configuration, runners for the services named, and nodes. */
+	/** Starts the store with a configuration, the given runners, and nodes. */
 	async start(options: {nodes?: number; runners: Array<{service: string; behaviour: ServerBehaviour}>}): Promise<this> {
 		await this.store.start();
 		this.store.put('config', 'main', createConfig(1));
@@ -118,25 +118,25 @@
 		return runner;
 	}
 
-	/** Writes the entry of a runner; `born` when it tells its start. */
+	/** Writes the entry of a runner; `born` is its start time, if it states one. */
 	putServer(index: number, service: string, state: 'ready' | 'draining', born?: number): void {
 		this.store.put('servers', `i-${index}`, {
 			service, address: this.runners[index].address, zone: 'north', version: 'v1', slots: 11, state, coldRemainingMs: 0, sequence: 1, born,
 		});
 	}
 
-	/** Starts nodes together for the first time, each on a host of its own; all are told of the first one. */
+	/** Starts nodes together as a first start, each on a host of its own, with the first one as seed. */
 	async startTogether(count: number): Promise<void> {
 		this.#ports = await findFreePorts(6);
 		await Promise.all(Array.from({length: count}, async (_, index) => this.addGateway(this.#describeNode(index))));
 	}
 
-	/** Starts one more node beside those of a first start. */
+	/** Starts one more node that joins those of a first start. */
 	async addJoiningGateway(): Promise<Gateway> {
 		return this.addGateway({...this.#describeNode(this.gateways.length), isFirstStart: false});
 	}
 
-	/** Starts a node; one with seeds is part of a first start. */
+	/** Starts a node; by default one with seeds is part of a first start. */
 	async addGateway(options: NodeOptions = {}): Promise<Gateway> {
 		const {
 			index = this.gateways.length, host = processHost, seeds = [], isFirstStart = seeds.length > 0, retrySlack = 100, storeAddress = this.store.address,
@@ -175,12 +175,12 @@
 		return gateway;
 	}
 
-	/** Makes a call at a node. */
+	/** Sends a request to a node. */
 	async call(call: TestCall, node = 0): Promise<ReceivedResponse> {
 		return send(this.settings[node].listen.callers, call);
 	}
 
-	/** Ends everything. */
+	/** Stops nodes, runners and store. */
 	async stop(): Promise<void> {
 		await Promise.all(this.gateways.map(async gateway => gateway.close()));
 		await Promise.all([...this.runners, this.store].map(async standin => standin.stop()));
@@ -193,7 +193,7 @@
 	}
 }
 
-/** Sends a request and reads what comes. */
+/** Sends a request and collects the response. */
 export async function send(address: string, call: TestCall): Promise<ReceivedResponse> {
 	const [host, port] = address.split(':');
 	return new Promise(resolve => {
@@ -236,12 +236,12 @@
 	});
 }
 
-/** Waits until a condition holds; fails after `limit` milliseconds. */
+/** Waits until a condition holds; throws after `limit` milliseconds. */
 export async function waitUntil(condition: () => boolean, limit = 8000): Promise<void> {
 	const end = Date.now() + limit;
 	while (!condition()) {
 		if (Date.now() > end) {
-			throw new Error('the condition did not come true in time');
+			throw new Error('the condition did not hold in time');
 		}
 
 		await new Promise(resolve => {
@@ -250,10 +250,10 @@
 	}
 }
 
-/** Ports that were given before: a heartbeat port is taken over UDP, which a look for a free TCP port does not see. */
+/** Ports returned before: heartbeat ports are bound over UDP, which a search for free TCP ports does not detect. */
 const usedPorts = new Set<number>();
 
-/** Finds free ports at this process's own address; no port is returned twice. */
+/** Finds free ports on this process's own address; no port is returned twice. */
 export async function findFreePorts(count: number): Promise<number[]> {
 	const servers: Server[] = [];
 	const found: Server[] = [];
--- a/test/lost-paths.test.ts
+++ b/test/lost-paths.test.ts
@@ -1,8 +1,8 @@
 /*
-A path between two nodes was lost, and work of a caller that waited was killed. The dispatcher took an entry that it
-had not heard for six seconds for dead and cancelled what ran for it at the engines, though the entry, the engine and
-the caller were well and other nodes saw the entry (`orphan_reclaimed`); a new dispatcher that could not ask an entry
-for its grants cancelled its work after four seconds (`unclaimed_cancelled`).
+Guards against cancelling live work after a partition between two nodes. A dispatcher without heartbeats from an entry node
+for six seconds considered it dead and cancelled its requests at the engines, though entry node, engine and caller were
+healthy and other nodes saw the entry node (`orphan_reclaimed`). A new dispatcher that could not ask an entry node for its
+grants cancelled its requests after four seconds (`unclaimed_cancelled`).
 */
 import {
 	afterEach, beforeEach, expect, test,
@@ -14,13 +14,13 @@
 } from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
-/** Tokens of a long answer: it is written for longer than any silence is borne. */
+/** Tokens of a long answer: generating it takes longer than any heartbeat timeout. */
 const longAnswer = 700;
 
 /** Time between two tokens, in milliseconds. */
 const tokenInterval = 25;
 
-/** Time in which memory must be back, in milliseconds: the aim for work that nobody waits for. */
+/** Time within which memory of abandoned requests must be free again, in milliseconds. */
 const reclaimTime = 10_000;
 
 let fleet: TestFleet;
@@ -33,7 +33,7 @@
 	await fleet.stop();
 });
 
-/** Names of boxes: the one that decides, the one that does so after it, and one that takes a call; the fourth sees all of them. */
+/** Names the dispatcher's box, the next dispatcher's and an entry node's; the fourth box reaches all of them. */
 function pickBoxes(): {dispatcher: string; entry: string; next: string; entryUrl: string} {
 	const boxes = ['box-1', 'box-2', 'box-3', 'box-4'];
 	const [dispatcher, next, entry] = orderByRendezvous(`${standinFleet.service}@${standinFleet.region}`, boxes, box => box);
@@ -48,7 +48,7 @@
 	fleet.network.cutPath(other, one);
 }
 
-/** Starts a long answer, and waits until it runs. */
+/** Starts a long answer and waits until it is being generated. */
 async function startLong(entryUrl: string, tokens = longAnswer): Promise<Array<Promise<CallAnswer>>> {
 	const running = chat(entryUrl, {stream: true, max_tokens: tokens});
 	await fleet.until(() => fleet.countHeld() > 0);
@@ -56,7 +56,7 @@
 	return [running];
 }
 
-test('an answer goes on while its entry cannot reach the dispatcher', async () => {
+test('an answer continues while its entry node cannot reach the dispatcher', async () => {
 	const {dispatcher, entry, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl);
 	fleet.network.cutPath(entry, dispatcher);
@@ -64,7 +64,7 @@
 	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
 });
 
-test('an answer goes on while its entry and the dispatcher cannot reach each other', async () => {
+test('an answer continues while its entry node and the dispatcher cannot reach each other', async () => {
 	const {dispatcher, entry, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl);
 	cutBothDirections(entry, dispatcher);
@@ -72,7 +72,7 @@
 	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
 });
 
-test('an answer goes on when a new dispatcher cannot ask its entry', async () => {
+test('an answer continues when a new dispatcher cannot reach its entry node', async () => {
 	const {dispatcher, entry, next, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl);
 	cutBothDirections(entry, next);
@@ -81,7 +81,7 @@
 	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
 });
 
-test('a dispatcher that reaches nobody, not even the platform, cancels nothing of others', async () => {
+test('a dispatcher cut off from all nodes and the platform cancels no requests of other nodes', async () => {
 	const {dispatcher, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl);
 	fleet.platform.faults = {down: true};
@@ -91,7 +91,7 @@
 	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
 });
 
-test('memory of an answer that ended behind a lost path is free again within ten seconds', async () => {
+test('memory of an answer that ended during a partition is free again within ten seconds', async () => {
 	const {dispatcher, entry, entryUrl} = pickBoxes();
 	const [running] = await startLong(entryUrl, 100);
 	cutBothDirections(entry, dispatcher);
@@ -103,10 +103,11 @@
 });
 
 /*
-Two nodes that did not reach each other, and no third one, took the pool's term from each other in turn: each saw the
-holder as gone, wrote itself in, and found the other one's term a moment later (`term_started`, `term_ended`).
+Guards against a pool's leadership alternating between two nodes that cannot reach each other, with no third node alive.
+Each saw the leader as gone, started a term of its own and found the other one's shortly after (`term_started`,
+`term_ended`).
 */
-test('two nodes that do not reach each other do not take a pool from each other in turn', async () => {
+test('leadership of a pool does not alternate between two nodes that cannot reach each other', async () => {
 	const {dispatcher, entry, next} = pickBoxes();
 	const boxes = ['box-1', 'box-2', 'box-3', 'box-4'];
 	const fourth = boxes.findIndex(box => ![dispatcher, entry, next].includes(box));
--- a/test/reload-settings.test.ts
+++ b/test/reload-settings.test.ts
@@ -19,10 +19,10 @@
 import {processHost} from './helpers/process-host.js';
 import {createTextAnswer, decline} from './helpers/platform-standins.js';
 
-/** For tests that bundle the program and run it as a process, in milliseconds. */
+/** Timeout of tests that bundle the program and run it as a process, in milliseconds. */
 const processTimeout = 30_000;
 
-/** The time between two looks at the settings file, and some, in milliseconds. */
+/** The interval between two polls of the settings file plus a margin, in milliseconds. */
 const pollTime = 2500;
 
 const text = `
@@ -82,7 +82,7 @@
 	['address_lifetime_seconds', 'address_lifetime_seconds = 7\n', ''],
 	['log.level', '', '[log]\nlevel = "debug"\n'],
 	['seeds', 'seeds = ["127.0.0.9:7006"]\n', ''],
-])('%s is taken over', (key, before, after) => {
+])('a changed %s applies at run time', (key, before, after) => {
 	const {taken, waiting, inForce} = compareSettings(parse(text), parse(`${before}${text}${after}`));
 	expect([taken, waiting]).toEqual([[key], []]);
 	expect(inForce).toEqual(parse(`${before}${text}${after}`));
@@ -92,7 +92,7 @@
 	['retry.ratio', 'ratio = 0.2', 'ratio = 0.1'],
 	['retry.slack', 'slack = 20', 'slack = 5'],
 	['stop.grace_seconds', 'grace_seconds = 4', 'grace_seconds = 9'],
-])('a changed %s is taken over', (key, before, after) => {
+])('a changed value of %s applies at run time', (key, before, after) => {
 	const {taken, waiting, inForce} = compareSettings(parse(text), parse(text.replace(before, after)));
 	expect([taken, waiting]).toEqual([[key], []]);
 	expect(inForce).toEqual(parse(text.replace(before, after)));
@@ -112,19 +112,19 @@
 	['retry.window_seconds', 'window_seconds = 10', 'window_seconds = 20'],
 	['first_start', 'region', 'first_start = true\nregion'],
 	['cpu.share', '[stop]', '[cpu]\nshare = 0.5\n[stop]'],
-])('a changed %s waits for the next start', (key, before, after) => {
+])('a changed %s takes effect at the next start', (key, before, after) => {
 	const {taken, waiting, inForce} = compareSettings(parse(text), parse(text.replace(before, after)));
 	expect([taken, waiting]).toEqual([[], [key]]);
 	expect(inForce).toEqual(parse(text));
 });
 
-test('of a file that changes both kinds, one part is taken over and the other stays as it was', () => {
+test('of a file with changes of both kinds only those that can change at run time apply', () => {
 	const {taken, waiting, inForce} = compareSettings(parse(text), parse(text.replace('slack = 20', 'slack = 5').replace('window_seconds = 10', 'window_seconds = 20')));
 	expect([taken, waiting]).toEqual([['retry.slack'], ['retry.window_seconds']]);
 	expect(inForce.retry).toEqual({ratio: 0.2, slack: 5, window_seconds: 10});
 });
 
-test('a running node states the new lifetime of addresses', async () => {
+test('a running node applies a new lifetime of address answers', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	const ask = async () => {
 		const {body} = await send(fleet.settings[0].listen.addresses, {path: '/v1/resolve?name=shop.example&region=r&zone=north', method: 'GET'});
@@ -138,7 +138,7 @@
 	expect(after).toBe(before.replace(/(?<=\D)1(?=[,}]|$)/, '5'));
 });
 
-test('a node that stops waits for answers that went out with a longer lifetime', () => {
+test('a stopping node waits for address answers given with an earlier, longer lifetime', () => {
 	const clock = new VirtualClock();
 	const lifetime = new AddressLifetime(clock, 10);
 	lifetime.change(2);
@@ -149,7 +149,7 @@
 	expect(lifetime.computeRemaining()).toBe(30_000);
 });
 
-test('a running node stops within the new grace', async () => {
+test('a running node applies a new grace period', async () => {
 	const log = new LogCapture();
 	fleet.loggers.push(createLogger('info', log));
 	await fleet.start({
@@ -170,7 +170,7 @@
 	await held;
 });
 
-test('a running node allows no more retries than the new budget', async () => {
+test('a running node applies a new retry budget', async () => {
 	const log = new LogCapture();
 	fleet.loggers.push(createLogger('info', log));
 	await fleet.start({runners: [{service: 'app', behaviour: decline}, {service: 'app', behaviour: decline}]});
@@ -185,7 +185,7 @@
 	expect(services.find(({service}) => service === 'app')?.retries?.left).toBe(0);
 });
 
-test('a running node writes at the new level', async () => {
+test('a running node applies a new log level', async () => {
 	const log = new LogCapture();
 	const logger = createLogger('info', log);
 	fleet.loggers.push(logger);
@@ -198,7 +198,7 @@
 	expect(log.listEvents('call_ended')).toHaveLength(1);
 });
 
-test('a running node finds the nodes of new seeds, also while the store is silent', async () => {
+test('a running node discovers nodes through new seeds while the store is unresponsive', async () => {
 	await fleet.store.start();
 	fleet.store.trouble = 'silent';
 	const ports = await findFreePorts(6);
@@ -213,7 +213,7 @@
 	expect(both.nodes.live).toBe(2);
 });
 
-/** A reloader of a file that begins as `text`, with what it changes and logs. */
+/** Creates a reloader of a file with the content `text`; returns its log and the settings it applies. */
 async function createReloader(level = 'info') {
 	const path = join(folder, 'node.toml');
 	await writeFile(path, text);
@@ -235,20 +235,20 @@
 	};
 }
 
-test('a reload says what it took over and what waits, and tells nothing that is in force already', async () => {
+test('a reload logs the settings that apply and those that need a restart, without those already in force', async () => {
 	const {path, log, reloader} = await createReloader();
 	await reloader.reload('signal');
 	await writeFile(path, text.replace('slack = 20', 'slack = 5').replace('7003', '7103'));
 	await reloader.reload('signal');
 	await reloader.reload('signal');
 	expect(log.listEvents('reloaded').map(({taken, waiting, msg}) => [taken, waiting, msg])).toEqual([
-		[[], [], 'the settings file says what is in force'],
+		[[], [], 'the settings file matches the settings in force'],
 		[['retry.slack'], ['listen.callers'], 'a part of the changed settings is in force; the rest takes effect at the next start'],
 		[[], ['listen.callers'], 'the changed settings take effect at the next start; start the node again'],
 	]);
 });
 
-test('a wrong file changes nothing, and the line names key, value and mend', async () => {
+test('an invalid file changes nothing, and the log line names key, value and remedy', async () => {
 	const {path, log, state, reloader} = await createReloader();
 	await writeFile(path, text.replace('slack = 20', 'slack = "many"'));
 	await reloader.reload('signal');
@@ -261,7 +261,7 @@
 	expect(log.listEvents('reload_refused')[1].problems).toEqual([expect.stringContaining('give the path of a file that can be read')]);
 });
 
-test('a reload that makes the log quieter is told before, one that makes it louder after', async () => {
+test('a reload is logged before the log level rises and after it falls', async () => {
 	const {path, log, reloader} = await createReloader();
 	await writeFile(path, `${text}[log]\nlevel = "error"\n`);
 	await reloader.reload('signal');
@@ -270,7 +270,7 @@
 	expect(log.listEvents('reloaded').map(({taken}) => taken)).toEqual([['log.level'], ['log.level']]);
 });
 
-test('a changed file is taken over without a signal, once; one that is gone for a while changes nothing', async () => {
+test('a changed file is reloaded once without a signal; a missing file changes nothing', async () => {
 	const {path, log, state, reloader} = await createReloader();
 	const stopping = new AbortController();
 	const watching = reloader.watch(stopping.signal);
@@ -285,7 +285,7 @@
 	expect(log.listEvents('reload_refused')).toEqual([]);
 }, processTimeout);
 
-test('a change that a signal told of is not told again by the file', async () => {
+test('a reload by signal is not repeated by the file poll', async () => {
 	const {path, log, reloader} = await createReloader();
 	const stopping = new AbortController();
 	const watching = reloader.watch(stopping.signal);
@@ -298,7 +298,7 @@
 	expect(log.listEvents('reloaded').map(({cause}) => cause)).toEqual(['signal']);
 }, processTimeout);
 
-test('SIGHUP makes a process of the program take its file over and go on', async () => {
+test('SIGHUP makes the program reload its settings file and keep running', async () => {
 	await fleet.store.start();
 	const [callers, ready, addresses, peers, heartbeat, metrics] = await findFreePorts(6);
 	let settings = text.replace('7007', fleet.store.address.split(':')[1]).replaceAll('127.0.0.1', processHost);
--- a/test/status.test.ts
+++ b/test/status.test.ts
@@ -10,10 +10,10 @@
 import {LogCapture} from './helpers/logs.js';
 import {createTextAnswer, decline, streamEvents} from './helpers/platform-standins.js';
 
-/** How long one reading of a node's status is told, in milliseconds. */
+/** Time for which a node's status is cached, in milliseconds. */
 const cacheTime = 250;
 
-/** Largest answer, in bytes. */
+/** Maximum size of a status, in bytes. */
 const maxStatusBytes = 256 * 1024;
 
 let fleet: GatewayFleet;
@@ -42,7 +42,7 @@
 	return JSON.parse(out) as NodeStatus;
 }
 
-test('a node says who decides, who lives, and which versions it and the others know', async () => {
+test('the status shows the scheduling nodes, the live nodes and their versions', async () => {
 	await fleet.start({nodes: 2, runners: [{service: 'model', behaviour: streamEvents(2)}]});
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.listReadyNodes().length === 2));
 	await sleep(cacheTime);
@@ -62,7 +62,7 @@
 	expect(first.omitted).toEqual({services: 0, nodes: 0});
 });
 
-test('a deciding node tells the work on its servers, their health, and the retries that are left', async () => {
+test('the status of a scheduling node shows the load and health of its servers and the remaining retries', async () => {
 	await fleet.start({
 		runners: [{
 			service: 'app',
@@ -82,7 +82,7 @@
 			server: 'i-0', work: 1, writers: 1, slots: 11, restsFor: 0, isDoubtful: false,
 		}],
 	});
-	// One node of a fleet of one remembers all: 0.35 of the slack of 100, and what its request brings. After its start it brings a part of that.
+	// A lone node holds the whole retry history: 0.35 of the slack of 100 plus the credit of its request, only part of which counts soon after the start.
 	expect(app?.retries).toMatchObject({requests: 1, retries: 0});
 	expect(app?.retries?.left).toBeGreaterThan(0);
 	expect(app?.retries?.left).toBeLessThanOrEqual(35);
@@ -99,7 +99,7 @@
 	expect(server.restsFor).toBeGreaterThan(0);
 });
 
-test('retries that were taken are missing from what is left', async () => {
+test('retries that were granted are counted against the budget', async () => {
 	const log = new LogCapture();
 	fleet.loggers.push(createLogger('info', log));
 	await fleet.start({runners: [{service: 'app', behaviour: decline}, {service: 'app', behaviour: decline}]});
@@ -111,7 +111,7 @@
 	expect(retries).toMatchObject({requests: 1, retries: log.listEvents('retry').length});
 });
 
-test('the text names the same for people', async () => {
+test('the text output shows the same facts', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await fleet.call({path: '/once/'});
 	await sleep(cacheTime);
@@ -124,7 +124,7 @@
 	expect(out).toContain('    i-0: 0 of 11 places, 0 write, 0 tokens held; well\n');
 });
 
-test('who asks in a loop is told one reading, and an answer stays small however many servers there are', async () => {
+test('a status is cached for polling clients and stays small with any number of servers', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	for (let index = 1; index <= 1500; index++) {
 		fleet.store.put('servers', `i-x${index}`, {
@@ -137,7 +137,7 @@
 	await sleep(cacheTime);
 	const askedAt = performance.now();
 	const texts = await Promise.all(Array.from({length: 50}, async () => send(findAddress(), {path: '/status', method: 'GET'})));
-	// A reading is cached for `readEvery`; on a busy machine the answers may span several.
+	// A status is cached for `cacheTime`; on a busy machine the answers may span several cached ones.
 	const readings = 1 + Math.floor((performance.now() - askedAt) / cacheTime);
 	expect(new Set(texts.map(({body}) => body)).size).toBeLessThanOrEqual(readings);
 	expect(texts[0].body.length).toBeLessThan(maxStatusBytes);
@@ -148,7 +148,7 @@
 	expect(out).toContain('  1501 servers take new work, 512 of them below\n');
 });
 
-test('a node that is not there ends with 1, a word that is no address with 2; both messages name the mend', async () => {
+test('the command exits with 1 for an unreachable node and with 2 for an invalid address; both messages name the remedy', async () => {
 	const [port] = await findFreePorts(1);
 	const absent = await runCommand('status', `127.0.0.1:${port}`);
 	expect(absent.code).toBe(1);
@@ -159,7 +159,7 @@
 	expect(without.code).toBe(2);
 });
 
-test('another listener than that of metrics ends with 1 and says so', async () => {
+test('the command exits with 1 and shows the HTTP status when the address is not the metrics listener', async () => {
 	await fleet.start({runners: []});
 	const {code, error} = await runCommand('status', fleet.settings[0].listen.ready);
 	expect(code).toBe(1);
