--- a/src/gateway/gateway-metrics.ts
+++ b/src/gateway/gateway-metrics.ts
@@ -82,7 +82,7 @@
 		this.#serverEnds.inc({service});
 	}
 
-	/** Counts the abandoning of kept connections because one was unresponsive. */
+	/** Counts kept connections to one target being closed because one of them was unresponsive. */
 	countAbandonedConnections(kind: string): void {
 		this.#abandonedConnections.inc({kind});
 	}
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -119,8 +119,8 @@
 			onHeartbeat: () => {
 				this.#tick();
 			},
-			onPlanUpdate: news => {
-				this.#placer.applyPlanUpdate(news);
+			onPlanUpdate: update => {
+				this.#placer.applyPlanUpdate(update);
 			},
 		});
 		this.#peers.addChangeListener(() => {
--- a/test/helpers/store-fleet.ts
+++ b/test/helpers/store-fleet.ts
@@ -1,7 +1,7 @@
 /**
  * Simulated nodes that follow one store, on a virtual clock; the store may be slow, or not answer some nodes or one kind of item.
  *
- * Calls of a node share kept connections. An unresponsive connection never recovers; a repeated call opens a new one.
+ * Calls of a node share kept connections. An unresponsive connection never recovers; a call may ask for a new one.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import seedrandom from 'seedrandom';
@@ -154,9 +154,9 @@
 		return {items: this.#store.read(this.#kind).map(({item}) => item as Item), revision: this.#store.revision};
 	}
 
-	async #call<Answer>({signal, isOnNewConnection: isRepeated}: SourceCall, read: (ended: AbortSignal) => Promise<Answer>): Promise<Either<SourceFailure, Answer>> {
+	async #call<Answer>({signal, isOnNewConnection}: SourceCall, read: (ended: AbortSignal) => Promise<Answer>): Promise<Either<SourceFailure, Answer>> {
 		this.#store.calls++;
-		if (isRepeated) {
+		if (isOnNewConnection) {
 			this.#lastOpened++;
 		}
 
@@ -258,8 +258,8 @@
 		await this.pass(50);
 	}
 
-	protected override sendHeartbeat(node: ViewFleetNode, hasNews: boolean): void {
-		super.sendHeartbeat(node, hasNews);
+	protected override sendHeartbeat(node: ViewFleetNode, hasChanges: boolean): void {
+		super.sendHeartbeat(node, hasChanges);
 		node.exchange.chooseWatchers(node.peers);
 	}
 
--- a/test/helpers/viewing-fleet.ts
+++ b/test/helpers/viewing-fleet.ts
@@ -224,8 +224,8 @@
 		this.sendHeartbeat(node, hasChanges);
 	}
 
-	#deliver(sender: ViewFleetNode, {heartbeat: beat, addresses}: OutgoingHeartbeat): void {
-		const message = encodeHeartbeat(beat);
+	#deliver(sender: ViewFleetNode, {heartbeat, addresses}: OutgoingHeartbeat): void {
+		const message = encodeHeartbeat(heartbeat);
 		for (const address of addresses) {
 			const receiver = this.#findNode(address);
 			if (receiver === undefined || this.#random() < (this.#options.lossShare ?? 0)) {
--- a/test/source-ages.test.ts
+++ b/test/source-ages.test.ts
@@ -7,17 +7,17 @@
 
 test('the fleet\'s age is the lowest age announced by any node, and grows from then on', () => {
 	const clock = new VirtualClock();
-	const heard = new SourceAgeTracker(clock);
-	expect([heard.measureLocalAge('servers'), heard.measureFleetAge('servers')]).toEqual([undefined, undefined]);
+	const tracker = new SourceAgeTracker(clock);
+	expect([tracker.measureLocalAge('servers'), tracker.measureFleetAge('servers')]).toEqual([undefined, undefined]);
 	clock.advance(5000);
-	heard.mergeAges({configuration: 3000, servers: undefined});
-	heard.mergeAges({configuration: 1000, servers: 200});
-	heard.mergeAges({configuration: 2000, servers: 4000});
+	tracker.mergeAges({configuration: 3000, servers: undefined});
+	tracker.mergeAges({configuration: 1000, servers: 200});
+	tracker.mergeAges({configuration: 2000, servers: 4000});
 	clock.advance(500);
-	expect(heard.measureFleetAges()).toEqual({configuration: 1500, servers: 700});
-	heard.recordAnswer('configuration');
+	expect(tracker.measureFleetAges()).toEqual({configuration: 1500, servers: 700});
+	tracker.recordAnswer('configuration');
 	clock.advance(40);
-	expect([heard.measureLocalAge('configuration'), heard.measureFleetAge('configuration'), heard.measureLocalAge('servers')]).toEqual([40, 40, undefined]);
+	expect([tracker.measureLocalAge('configuration'), tracker.measureFleetAge('configuration'), tracker.measureLocalAge('servers')]).toEqual([40, 40, undefined]);
 });
 
 test('a node that does not watch the source logs once that no node gets answers, and once that one does again', async () => {
