--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -8,7 +8,7 @@
 	linearRegression, linearRegressionLine, quantile, rSquared,
 } from 'simple-statistics';
 import {
-	createSilentLogger, formatPoolId, hashSecret, randomIdSource, SilentMetrics, systemClock, VirtualClock, waitFor,
+	createSilentLogger, formatPoolId, hashSecret, randomIdSource, NoopMetrics, systemClock, VirtualClock, waitFor,
 	type BackendServerId, type Incarnation, type OrganisationId, type RequestId, type ServiceName,
 } from '../src/common/index.js';
 import {FleetView} from '../src/node/config/index.js';
@@ -141,7 +141,7 @@
 function buildPool(engines: number, waiting: number): {dispatcher: Dispatcher; clock: VirtualClock} {
 	const clock = new VirtualClock();
 	const dispatcher = new Dispatcher({
-		pool: formatPoolId('m' as ServiceName, 'r'), term: 1, clock, ids: randomIdSource, logger: createSilentLogger(), metrics: new SilentMetrics(), directory: new EqualDirectory(),
+		pool: formatPoolId('m' as ServiceName, 'r'), term: 1, clock, ids: randomIdSource, logger: createSilentLogger(), metrics: new NoopMetrics(), directory: new EqualDirectory(),
 	});
 	dispatcher.setServers(Array.from({length: engines}, (_, index): ServerState => ({
 		id: `engine-${index}` as BackendServerId, url: 'http://10.0.0.1:8000', availabilityZone: 'a', capacity: 450_000, prefillRate: 20_000, tokenInterval: 30, open: true,
--- a/src/cli/node-command.ts
+++ b/src/cli/node-command.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import type {Command} from 'commander';
 import {
-	createLogger, openLogOutput, randomIdSource, readErrorMessage, SilentMetrics, systemClock, type Logger,
+	createLogger, openLogOutput, randomIdSource, readErrorMessage, NoopMetrics, systemClock, type Logger,
 } from '../common/index.js';
 import {StatsdMetrics} from '../common/statsd-metrics.js';
 import {Node} from '../node/index.js';
@@ -38,7 +38,7 @@
 		clock: systemClock,
 		ids: randomIdSource,
 		logger,
-		metrics: settings.metrics === undefined ? new SilentMetrics() : new StatsdMetrics(settings.metrics.host, settings.metrics.port),
+		metrics: settings.metrics === undefined ? new NoopMetrics() : new StatsdMetrics(settings.metrics.host, settings.metrics.port),
 		random: Math.random,
 	});
 	try {
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -86,7 +86,7 @@
  * In place of `AbortSignal.any`, for the reason given at `createTimeout`. `release` lets go of
  * the signals; call it where one of them outlives what is waited for.
  */
-export function joinSignals(signals: AbortSignal[]): {signal: AbortSignal; release(): void} {
+export function combineSignals(signals: AbortSignal[]): {signal: AbortSignal; release(): void} {
 	const controller = new AbortController();
 	const release = () => {
 		for (const signal of signals) {
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -5,7 +5,7 @@
  */
 
 /** Whether the request ran: not at all, perhaps, in part, or wholly. */
-export type Ran = 'no' | 'maybe' | 'partly' | 'yes';
+export type ExecutionState = 'no' | 'maybe' | 'partly' | 'yes';
 
 /** How an error kind is answered. */
 export type ErrorAnswer = {
@@ -14,7 +14,7 @@
 	/** The `type` field of an OpenAI-style error. */
 	type: 'invalid_request_error' | 'authentication_error' | 'permission_error' | 'not_found_error' | 'rate_limit_error' | 'server_error';
 	/** Whether the request ran, unless the failure says otherwise. */
-	ran: Ran;
+	ran: ExecutionState;
 	/** Seconds after which the caller may try again; absent where trying again cannot help. */
 	retryAfterSeconds?: number;
 };
@@ -86,7 +86,7 @@
 	/** What happened and, where there is one, the mend; read by people. */
 	message: string;
 	/** Overrides the table's value where more is known. */
-	ran?: Ran;
+	ran?: ExecutionState;
 	/** Overrides the table's value where a better hint is known. */
 	retryAfterSeconds?: number;
 };
@@ -98,14 +98,14 @@
 		type: string;
 		param: undefined;
 		code: ErrorKind;
-		ran: Ran;
+		ran: ExecutionState;
 		retry_after_seconds?: number;
 	};
 };
 
 /** Makes a failure of a kind. */
-export function createFailure(kind: ErrorKind, message: string, more: Pick<Failure, 'ran' | 'retryAfterSeconds'> = {}): Failure {
-	return {kind, message, ...more};
+export function createFailure(kind: ErrorKind, message: string, overrides: Pick<Failure, 'ran' | 'retryAfterSeconds'> = {}): Failure {
+	return {kind, message, ...overrides};
 }
 
 /** Looks up how a failure is answered, with what the failure itself overrides. */
--- a/src/common/index.ts
+++ b/src/common/index.ts
@@ -6,7 +6,7 @@
 export * from './metrics.js';
 export * from './read-text.js';
 export * from './rendezvous.js';
-export * from './renewed-agent.js';
+export * from './replaceable-agent.js';
 export * from './secrets.js';
 export * from './supervisor.js';
 export * from './virtual-clock.js';
--- a/src/common/log.ts
+++ b/src/common/log.ts
@@ -16,13 +16,13 @@
 }
 
 /** Bytes of lines gathered before they are written, and the longest they wait in milliseconds. */
-const gathering = {minLength: 8192, periodicFlush: 200};
+const buffering = {minLength: 8192, periodicFlush: 200};
 
 /** Bytes of lines that wait for a reader at most: some thousand lines, and a hundredth of a small box's memory. */
-const mostWaiting = 2 * 1024 * 1024;
+const maxBufferedBytes = 2 * 1024 * 1024;
 
 /** What a line of lost lines says. */
-const lostLines = 'log lines were dropped: nobody read the output fast enough';
+const droppedLinesMessage = 'log lines were dropped: nobody read the output fast enough';
 
 /**
  * Opens a file descriptor for logs, standard output by default.
@@ -34,7 +34,7 @@
  */
 export function openLogOutput(fd = 1): DestinationStream {
 	const output = pino.destination({
-		fd, sync: false, maxLength: mostWaiting, ...gathering,
+		fd, sync: false, maxLength: maxBufferedBytes, ...buffering,
 	});
 	let dropped = 0;
 	output.on('drop', () => {
@@ -43,7 +43,7 @@
 	output.on('drain', () => {
 		if (dropped > 0) {
 			const line = {
-				level: 'warn', time: new Date().toISOString(), event: 'log_lines_dropped', dropped, msg: lostLines,
+				level: 'warn', time: new Date().toISOString(), event: 'log_lines_dropped', dropped, msg: droppedLinesMessage,
 			};
 			dropped = 0;
 			output.write(`${JSON.stringify(line)}\n`);
--- a/src/common/metrics.ts
+++ b/src/common/metrics.ts
@@ -4,14 +4,14 @@
 
 /** Where metrics go. Timings are in milliseconds. */
 export abstract class Metrics {
-	abstract incrementCounter(name: string, tags?: MetricTags, by?: number): void;
+	abstract incrementCounter(name: string, tags?: MetricTags, amount?: number): void;
 	abstract recordTiming(name: string, milliseconds: number, tags?: MetricTags): void;
 	abstract recordGauge(name: string, value: number, tags?: MetricTags): void;
 	abstract close(): void;
 }
 
 /** Metrics that go nowhere. */
-export class SilentMetrics extends Metrics {
+export class NoopMetrics extends Metrics {
 	override incrementCounter(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
 	override recordTiming(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
 	override recordGauge(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
--- a/src/common/read-text.ts
+++ b/src/common/read-text.ts
@@ -2,12 +2,12 @@
 import {Buffer} from 'node:buffer';
 
 /** Reads a body to its end as text; `hear` is called with each part. */
-export async function readText(body: AsyncIterable<Uint8Array>, hear: () => void): Promise<string> {
-	const parts: Uint8Array[] = [];
-	for await (const part of body) {
-		hear();
-		parts.push(part);
+export async function readText(body: AsyncIterable<Uint8Array>, onChunk: () => void): Promise<string> {
+	const chunks: Uint8Array[] = [];
+	for await (const chunk of body) {
+		onChunk();
+		chunks.push(chunk);
 	}
 
-	return Buffer.concat(parts).toString('utf8');
+	return Buffer.concat(chunks).toString('utf8');
 }
--- a/src/common/renewed-agent.ts
+++ b/src/common/replaceable-agent.ts
@@ -7,7 +7,7 @@
  * Open connections may fall silent without a reset while new ones are answered, and all of them
  * at once: with four kept ones, four calls after each other would wait for nothing.
  */
-export class RenewedAgent {
+export class ReplaceableAgent {
 	readonly #options: Agent.Options;
 	/** Agents with connections; the last one takes new calls. */
 	#agents: Agent[];
@@ -27,13 +27,13 @@
 	 *
 	 * @returns false when it has been left already.
 	 */
-	leave(agent: Agent): boolean {
+	replace(agent: Agent): boolean {
 		if (agent !== this.current) {
 			return false;
 		}
 
 		this.#agents.push(new Agent(this.#options));
-		void this.#end(agent);
+		void this.#drain(agent);
 		return true;
 	}
 
@@ -42,7 +42,7 @@
 		await Promise.all(this.#agents.map(async agent => agent.destroy()));
 	}
 
-	async #end(agent: Agent): Promise<void> {
+	async #drain(agent: Agent): Promise<void> {
 		await agent.close();
 		this.#agents = this.#agents.filter(other => other !== agent);
 	}
--- a/src/common/statsd-metrics.ts
+++ b/src/common/statsd-metrics.ts
@@ -19,8 +19,8 @@
 		});
 	}
 
-	override incrementCounter(name: string, tags: MetricTags = {}, by = 1): void {
-		this.#client.increment(name, by, tags);
+	override incrementCounter(name: string, tags: MetricTags = {}, amount = 1): void {
+		this.#client.increment(name, amount, tags);
 	}
 
 	override recordTiming(name: string, milliseconds: number, tags: MetricTags = {}): void {
--- a/src/common/supervisor.ts
+++ b/src/common/supervisor.ts
@@ -19,7 +19,7 @@
 }
 
 const initialBackoff = 100;
-const maximalBackoff = 5000;
+const maxBackoff = 5000;
 const defaultBudget = {restarts: 20, windowMilliseconds: 60_000};
 
 /** Runs children side by side; past the restart budget of one, gives up on all and escalates. */
@@ -89,7 +89,7 @@
 				event: 'child_restarted', child: child.name, reason, backoff,
 			}, 'a child failed and is started again');
 			await waitFor(this.#clock, backoff, signal);
-			backoff = Math.min(maximalBackoff, restarts.length <= 1 ? initialBackoff : backoff * 2);
+			backoff = Math.min(maxBackoff, restarts.length <= 1 ? initialBackoff : backoff * 2);
 		}
 	}
 }
--- a/src/common/virtual-clock.ts
+++ b/src/common/virtual-clock.ts
@@ -3,8 +3,8 @@
 import type {Clock, Timer} from './clock.js';
 
 type PendingTimer = {
-	at: number;
-	order: number;
+	dueAt: number;
+	sequence: number;
 	callback: () => void;
 	isCancelled: boolean;
 };
@@ -15,8 +15,8 @@
 /** Time that moves only when told. Timers due at the same time fire in the order they were set. */
 export class VirtualClock implements Clock {
 	#elapsed = 0;
-	#order = 0;
-	readonly #timers = new TinyQueue<PendingTimer>([], (left, right) => left.at - right.at || left.order - right.order);
+	#nextSequence = 0;
+	readonly #timers = new TinyQueue<PendingTimer>([], (left, right) => left.dueAt - right.dueAt || left.sequence - right.sequence);
 
 	now(): Date {
 		return new Date(epoch + this.#elapsed);
@@ -28,7 +28,7 @@
 
 	setTimer(delay: number, callback: () => void): Timer {
 		const timer = {
-			at: this.#elapsed + Math.max(0, delay), order: this.#order++, callback, isCancelled: false,
+			dueAt: this.#elapsed + Math.max(0, delay), sequence: this.#nextSequence++, callback, isCancelled: false,
 		};
 		this.#timers.push(timer);
 		return {
@@ -41,7 +41,7 @@
 	/** Moves time forward by milliseconds and fires every timer that falls due on the way. */
 	advance(milliseconds: number): void {
 		const end = this.#elapsed + milliseconds;
-		while (this.#findNext() !== undefined && this.#findNext()!.at <= end) {
+		while (this.#findNext() !== undefined && this.#findNext()!.dueAt <= end) {
 			this.fireNext();
 		}
 
@@ -56,7 +56,7 @@
 		}
 
 		this.#timers.pop();
-		this.#elapsed = Math.max(this.#elapsed, timer.at);
+		this.#elapsed = Math.max(this.#elapsed, timer.dueAt);
 		timer.callback();
 		return true;
 	}
--- a/src/gateway/peers/peer-rpc.ts
+++ b/src/gateway/peers/peer-rpc.ts
@@ -5,16 +5,16 @@
 import {Agent} from 'undici';
 import * as z from 'zod';
 import {
-	readErrorMessage, RenewedAgent, type Clock, type RequestFingerprint, type Failure, type ServiceName,
+	readErrorMessage, ReplaceableAgent, type Clock, type RequestFingerprint, type Failure, type ServiceName,
 } from '../../common/index.js';
 import type {
 	Decision, ReportedLimit, Plan, PlanRequest, RetryHistory, RetryRequest, CrashReport,
 } from '../../planning/index.js';
 import {
-	askWithin, rpcPath, sendNodeRequest, type NodeRequest,
+	askWithTimeout, rpcPath, sendNodeRequest, type NodeRequest,
 } from '../../rpc/node-fetch.js';
 import type {PackedText} from '../../rpc/packed-text.js';
-import {createSilenceLimit} from '../../rpc/silence-limit.js';
+import {createIdleTimeout} from '../../rpc/idle-timeout.js';
 
 /** A decision, or why there is none. */
 export type DecisionAnswer = {
@@ -89,7 +89,7 @@
 const connectionOptions = {connect: {timeout: connectTimeout}, headersTimeout: 0, bodyTimeout: 0};
 
 /** How another node is reached. */
-type PeerConnection = {client: PeerClient; agent: RenewedAgent};
+type PeerConnection = {client: PeerClient; agent: ReplaceableAgent};
 
 /** A question over a connection of its own. */
 export type SingleCall<Answer> = {
@@ -119,11 +119,11 @@
 	async ask<Answer>(address: string, timeout: number, call: (client: PeerClient, signal: AbortSignal) => Promise<Answer>): Promise<Answer | undefined> {
 		const {client, agent} = this.#findConnection(address);
 		const used = agent.current;
-		return askWithin(this.#clock, timeout, async signal => {
+		return askWithTimeout(this.#clock, timeout, async signal => {
 			try {
 				return await call(client, signal);
 			} finally {
-				if (signal.aborted && agent.leave(used)) {
+				if (signal.aborted && agent.replace(used)) {
 					this.#onAbandoned?.();
 				}
 			}
@@ -138,9 +138,9 @@
 	 */
 	async askOnNewConnection<Answer>(address: string, {call, onData: onHeard, longestSilence, signal}: SingleCall<Answer>): Promise<Either<string, Answer>> {
 		const agent = new Agent(connectionOptions);
-		const silence = createSilenceLimit(this.#clock, longestSilence, signal);
+		const silence = createIdleTimeout(this.#clock, longestSilence, signal);
 		const client = createClient(address, () => agent, () => {
-			silence.hear();
+			silence.restart();
 			onHeard();
 		});
 		this.#singleCallAgents.add(agent);
@@ -164,7 +164,7 @@
 	#findConnection(address: string): PeerConnection {
 		let connection = this.#connections.get(address);
 		if (connection === undefined) {
-			const agent = new RenewedAgent({...connectionOptions, keepAliveTimeout: idleTimeout});
+			const agent = new ReplaceableAgent({...connectionOptions, keepAliveTimeout: idleTimeout});
 			connection = {agent, client: createClient(address, () => agent.current)};
 			this.#connections.set(address, connection);
 		}
--- a/src/gateway/scheduling/select-scheduler.ts
+++ b/src/gateway/scheduling/select-scheduler.ts
@@ -1,5 +1,5 @@
 /** Which node decides for a service. Pure. */
-import {findRendezvous, type ServiceName} from '../../common/index.js';
+import {findFirstByRendezvous, type ServiceName} from '../../common/index.js';
 import type {Peer} from '../peers/heartbeat.js';
 
 /** A node with at least this share of the cores of the largest one is large enough: every request of the fleet asks the deciding node. */
@@ -9,5 +9,5 @@
 export function selectScheduler(service: ServiceName, nodes: Peer[]): Peer | undefined {
 	const maxCores = Math.max(...nodes.map(node => node.cores));
 	const large = nodes.filter(node => node.cores >= maxCores * largeNodeShare);
-	return findRendezvous(service, large, node => node.name);
+	return findFirstByRendezvous(service, large, node => node.name);
 }
--- a/src/node/callers-controller.ts
+++ b/src/node/callers-controller.ts
@@ -39,7 +39,7 @@
 	async listModels(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
 		const models = this.#context.entry.listModels(request.headers);
 		if (models.isLeft()) {
-			sendFailure(takeSink(reply), models.extract(), false);
+			sendFailure(hijackReply(reply), models.extract(), false);
 			return;
 		}
 
@@ -54,22 +54,22 @@
 
 	@Post('v1/chat/completions')
 	async completeChat(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-		await this.#context.entry.serveCompletion(readRaw(request), 'chat', takeSink(reply));
+		await this.#context.entry.serveCompletion(readRawRequest(request), 'chat', hijackReply(reply));
 	}
 
 	@Post('v1/completions')
 	async completeText(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-		await this.#context.entry.serveCompletion(readRaw(request), 'text', takeSink(reply));
+		await this.#context.entry.serveCompletion(readRawRequest(request), 'text', hijackReply(reply));
 	}
 
 	/** Everything else is a call on a plain service. */
 	@All('*')
 	async callPlain(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-		await this.#context.entry.servePlain(readRaw(request), takeSink(reply));
+		await this.#context.entry.servePlain(readRawRequest(request), hijackReply(reply));
 	}
 }
 
-function readRaw(request: FastifyRequest): RawRequest {
+function readRawRequest(request: FastifyRequest): RawRequest {
 	const body = Buffer.isBuffer(request.body) ? request.body : Buffer.alloc(0);
 	return {
 		method: request.method, url: request.url, headers: request.headers, body,
@@ -77,7 +77,7 @@
 }
 
 /** From here on the answer is written to the connection itself, so that it can be streamed and held back. */
-function takeSink(reply: FastifyReply): HttpAnswerSink {
+function hijackReply(reply: FastifyReply): HttpAnswerSink {
 	void reply.hijack();
 	return new HttpAnswerSink(reply.raw);
 }
--- a/src/node/config/config-watcher.ts
+++ b/src/node/config/config-watcher.ts
@@ -10,8 +10,8 @@
 import type {Platform} from '../../store/index.js';
 import type {FleetView} from './fleet-view.js';
 
-const firstBackoff = 100;
-const longestBackoff = 5000;
+const initialBackoff = 100;
+const maxBackoff = 5000;
 
 /** Follows the platform's objects. */
 export class ConfigWatcher extends Child {
@@ -38,17 +38,17 @@
 	}
 
 	override async run(signal: AbortSignal): Promise<void> {
-		let backoff = firstBackoff;
-		let mustList = this.#view.revision === 0;
+		let backoff = initialBackoff;
+		let isListRequired = this.#view.revision === 0;
 		while (!signal.aborted) {
-			if (mustList && !await this.#list()) {
+			if (isListRequired && !await this.#list()) {
 				backoff = await this.#pause(backoff, signal);
 				continue;
 			}
 
-			mustList = false;
-			const started = this.#clock.readMonotonic();
-			const end = await this.#platform.watchObjects(this.#view.revision, {
+			isListRequired = false;
+			const startedAt = this.#clock.readMonotonic();
+			const failure = await this.#platform.watchObjects(this.#view.revision, {
 				onOpen: () => {
 					this.#isCurrent = true;
 				},
@@ -61,11 +61,11 @@
 			}
 
 			this.#isCurrent = false;
-			mustList = end.kind === 'expired';
-			this.#logger.info({event: 'watch_ended', reason: end.message, revision: this.#view.revision}, 'watch of the platform ended');
+			isListRequired = failure.kind === 'expired';
+			this.#logger.info({event: 'watch_ended', reason: failure.message, revision: this.#view.revision}, 'watch of the platform ended');
 			// A watch that held for long is no sign of an outage: start again from the shortest wait.
-			const lasted = this.#clock.readMonotonic() - started;
-			backoff = await this.#pause(lasted > longestBackoff ? firstBackoff : backoff, signal);
+			const watchDuration = this.#clock.readMonotonic() - startedAt;
+			backoff = await this.#pause(watchDuration > maxBackoff ? initialBackoff : backoff, signal);
 		}
 	}
 
@@ -86,6 +86,6 @@
 	/** Waits between half and all of the backoff, so that nodes do not come back all at once. */
 	async #pause(backoff: number, signal: AbortSignal): Promise<number> {
 		await waitFor(this.#clock, backoff * (0.5 + (this.#random() / 2)), signal);
-		return Math.min(longestBackoff, backoff * 2);
+		return Math.min(maxBackoff, backoff * 2);
 	}
 }
--- a/src/node/config/fleet-view.ts
+++ b/src/node/config/fleet-view.ts
@@ -9,10 +9,10 @@
 import type {
 	ObjectKind, ObjectList, PlatformObject, SpecOf, WatchEvent,
 } from '../../store/index.js';
-import {OrganisationStore, PlainStore, type KindStore} from './kind-store.js';
+import {OrganisationStore, MapStore, type KindStore} from './kind-store.js';
 
 /** A named object with its version. */
-export type Entry<Kind extends ObjectKind> = SpecOf<Kind> & {name: string; version: number};
+export type ViewEntry<Kind extends ObjectKind> = SpecOf<Kind> & {name: string; version: number};
 
 /** Called after objects of a kind have changed. */
 export type ViewListener = (kind: ObjectKind) => void;
@@ -75,14 +75,14 @@
 	}
 
 	/** Finds an object by kind and name. */
-	find<Kind extends ObjectKind>(kind: Kind, name: string): Entry<Kind> | undefined {
+	find<Kind extends ObjectKind>(kind: Kind, name: string): ViewEntry<Kind> | undefined {
 		const object = this.#stores.get(kind)?.find(name);
-		return object === undefined ? undefined : toEntry<Kind>(object);
+		return object === undefined ? undefined : createEntry<Kind>(object);
 	}
 
 	/** Lists the objects of a kind. */
-	list<Kind extends ObjectKind>(kind: Kind): Array<Entry<Kind>> {
-		return [...this.#stores.get(kind)?.list() ?? []].map(object => toEntry<Kind>(object));
+	list<Kind extends ObjectKind>(kind: Kind): Array<ViewEntry<Kind>> {
+		return [...this.#stores.get(kind)?.list() ?? []].map(object => createEntry<Kind>(object));
 	}
 
 	/** Finds the organisation that owns a key. The key itself is not kept. */
@@ -91,7 +91,7 @@
 	}
 
 	/** Lists the backend servers of a service. */
-	listServers(service: ServiceName): Array<Entry<'BackendServer'> & {id: BackendServerId}> {
+	listServers(service: ServiceName): Array<ViewEntry<'BackendServer'> & {id: BackendServerId}> {
 		return this.list('BackendServer')
 			.filter(server => server.service === service)
 			.map(server => ({...server, id: server.name as BackendServerId}));
@@ -108,8 +108,8 @@
 		const {object} = event;
 		const {name, resourceVersion} = object.metadata;
 		const key = `${object.kind}/${name}`;
-		const known = this.#findStore(object.kind).findVersion(name) ?? this.#deleted.get(key) ?? 0;
-		if (resourceVersion <= known) {
+		const knownVersion = this.#findStore(object.kind).findVersion(name) ?? this.#deleted.get(key) ?? 0;
+		if (resourceVersion <= knownVersion) {
 			return;
 		}
 
@@ -125,7 +125,7 @@
 	}
 
 	#findStore(kind: ObjectKind): KindStore {
-		const store = this.#stores.get(kind) ?? new PlainStore();
+		const store = this.#stores.get(kind) ?? new MapStore();
 		this.#stores.set(kind, store);
 		return store;
 	}
@@ -139,8 +139,8 @@
 	}
 }
 
-function toEntry<Kind extends ObjectKind>(object: PlatformObject): Entry<Kind> {
+function createEntry<Kind extends ObjectKind>(object: PlatformObject): ViewEntry<Kind> {
 	const {name, resourceVersion} = object.metadata;
 	const entry: unknown = {...object.spec, name, version: resourceVersion};
-	return entry as Entry<Kind>;
+	return entry as ViewEntry<Kind>;
 }
--- a/src/node/config/kind-store.ts
+++ b/src/node/config/kind-store.ts
@@ -15,7 +15,7 @@
 }
 
 /** Keeps objects as they came. */
-export class PlainStore extends KindStore {
+export class MapStore extends KindStore {
 	readonly #objects = new Map<string, PlatformObject>();
 
 	override find(name: string): PlatformObject | undefined {
@@ -55,7 +55,7 @@
 };
 
 /** Characters of a key's hash by which its owner is looked up; the rest is compared in constant time. */
-const indexedCharacters = 6;
+const indexedPrefixLength = 6;
 
 /**
  * Keeps organisations in little memory, indexed by their keys.
@@ -92,20 +92,20 @@
 		const keys = spec.keyHashes.map(hash => Buffer.from(hash, 'hex').toString('latin1'));
 		this.#organisations.set(name, {
 			version: resourceVersion,
-			partner: share(this.#partners, spec.partner, spec.partner),
-			services: share(this.#services, spec.services.join(' '), spec.services),
+			partner: intern(this.#partners, spec.partner, spec.partner),
+			services: intern(this.#services, spec.services.join(' '), spec.services),
 			keys,
 			requestsPerMinute: spec.requestsPerMinute,
 			tokensPerMinute: spec.tokensPerMinute,
 		});
 		for (const key of keys) {
-			this.#addOwner(key.slice(0, indexedCharacters), name);
+			this.#addOwner(key.slice(0, indexedPrefixLength), name);
 		}
 	}
 
 	override remove(name: string): void {
 		for (const key of this.#organisations.get(name)?.keys ?? []) {
-			this.#removeOwner(key.slice(0, indexedCharacters), name);
+			this.#removeOwner(key.slice(0, indexedPrefixLength), name);
 		}
 
 		this.#organisations.delete(name);
@@ -118,23 +118,23 @@
 
 	/** Finds the organisation that owns a key. The key itself is not kept. */
 	findKeyOwner(key: string): OrganisationId | undefined {
-		const prefix = Buffer.from(hashSecret(key).slice(0, indexedCharacters * 2), 'hex').toString('latin1');
+		const prefix = Buffer.from(hashSecret(key).slice(0, indexedPrefixLength * 2), 'hex').toString('latin1');
 		const candidates = [this.#owners.get(prefix) ?? []].flat();
 		const owner = candidates.find(name => this.#organisations.get(name)?.keys.some(stored => matchesHash(key, Buffer.from(stored, 'latin1').toString('hex'))));
 		return owner as OrganisationId | undefined;
 	}
 
 	#addOwner(prefix: string, name: string): void {
-		const known = this.#owners.get(prefix);
-		this.#owners.set(prefix, known === undefined ? name : [known, name].flat());
+		const existing = this.#owners.get(prefix);
+		this.#owners.set(prefix, existing === undefined ? name : [existing, name].flat());
 	}
 
 	#removeOwner(prefix: string, name: string): void {
-		const left = [this.#owners.get(prefix) ?? []].flat().filter(owner => owner !== name);
-		if (left.length === 0) {
+		const remaining = [this.#owners.get(prefix) ?? []].flat().filter(owner => owner !== name);
+		if (remaining.length === 0) {
 			this.#owners.delete(prefix);
 		} else {
-			this.#owners.set(prefix, left.length === 1 ? left[0] : left);
+			this.#owners.set(prefix, remaining.length === 1 ? remaining[0] : remaining);
 		}
 	}
 }
@@ -154,8 +154,8 @@
 }
 
 /** Returns the value first kept under a key, so that equal values are held once. */
-function share<Value>(known: Map<string, Value>, key: string, value: Value): Value {
-	const first = known.get(key) ?? value;
-	known.set(key, first);
+function intern<Value>(pool: Map<string, Value>, key: string, value: Value): Value {
+	const first = pool.get(key) ?? value;
+	pool.set(key, first);
 	return first;
 }
--- a/src/node/entry/bounded-sink.ts
+++ b/src/node/entry/bounded-sink.ts
@@ -1,5 +1,5 @@
 /** A sink whose reader stops waiting at a bound of its own. */
-import {joinSignals} from '../../common/index.js';
+import {combineSignals} from '../../common/index.js';
 import type {AnswerHead} from '../../rpc/index.js';
 import {AnswerSink} from './answer-sink.js';
 
@@ -12,7 +12,7 @@
 	constructor(sink: AnswerSink, limit: AbortSignal) {
 		super();
 		this.#sink = sink;
-		this.gone = joinSignals([sink.gone, limit]).signal;
+		this.gone = combineSignals([sink.gone, limit]).signal;
 	}
 
 	/** Whether the whole answer has been passed on. */
--- a/src/node/entry/parse-request.ts
+++ b/src/node/entry/parse-request.ts
@@ -5,7 +5,7 @@
 import {
 	createFailure, formatPoolId, readBearerToken, type Clock, type Failure, type OrganisationId, type RequestId, type RunKey, type ServiceName,
 } from '../../common/index.js';
-import type {Entry, FleetView} from '../config/index.js';
+import type {ViewEntry, FleetView} from '../config/index.js';
 import {noPrefixes} from '../dispatch/index.js';
 import type {CallerRequest, CompletionBody, Operation} from './caller-request.js';
 import {boundHeader, notRepeatableHeader, runKeyHeader} from './headers.js';
@@ -50,7 +50,7 @@
 });
 
 /** Finds out which organisation a request comes from. */
-export function authenticate(headers: IncomingHttpHeaders, view: FleetView): Either<Failure, Entry<'Organisation'>> {
+export function authenticate(headers: IncomingHttpHeaders, view: FleetView): Either<Failure, ViewEntry<'Organisation'>> {
 	const key = readBearerToken(headers.authorization);
 	const owner = key === '' ? undefined : view.findKeyOwner(key);
 	const organisation = owner === undefined ? undefined : view.find('Organisation', owner);
@@ -110,7 +110,7 @@
 	return matching[0]?.name;
 }
 
-function findService(name: string, type: 'engine' | 'plain', organisation: Entry<'Organisation'>, view: FleetView): Either<Failure, Entry<'Service'>> {
+function findService(name: string, type: 'engine' | 'plain', organisation: ViewEntry<'Organisation'>, view: FleetView): Either<Failure, ViewEntry<'Service'>> {
 	const service = view.find('Service', name);
 	if (service?.type !== type) {
 		return Left(createFailure('unknown_model', `there is no model '${name}'; GET /v1/models lists those you may use`));
@@ -124,8 +124,8 @@
 type RequestParts = {
 	raw: RawRequest;
 	operation: Operation;
-	organisation: Entry<'Organisation'>;
-	service: Entry<'Service'>;
+	organisation: ViewEntry<'Organisation'>;
+	service: ViewEntry<'Service'>;
 	completion: CompletionBody | undefined;
 };
 
@@ -157,7 +157,7 @@
 	}));
 }
 
-function parseBound(headers: IncomingHttpHeaders, service: Entry<'Service'>): Either<Failure, number> {
+function parseBound(headers: IncomingHttpHeaders, service: ViewEntry<'Service'>): Either<Failure, number> {
 	const text = headers[boundHeader];
 	if (text === undefined) {
 		return Right(service.defaultBound);
@@ -197,7 +197,7 @@
 	return picked;
 }
 
-function countOutputTokens(completion: CompletionBody | undefined, service: Entry<'Service'>): number {
+function countOutputTokens(completion: CompletionBody | undefined, service: ViewEntry<'Service'>): number {
 	const limit = completion?.max_completion_tokens ?? completion?.max_tokens ?? service.defaultOutputTokens;
 	return Number(limit) * Number(completion?.n ?? 1);
 }
--- a/src/node/listeners.ts
+++ b/src/node/listeners.ts
@@ -30,7 +30,7 @@
 const rpcBodyLimit = 160 * bytesPerMebibyte;
 
 /** Milliseconds for which an idle connection is kept. */
-const keepAlive = 75_000;
+const idleConnectionTimeout = 75_000;
 
 @Module({})
 class ListenerModule {}
@@ -78,7 +78,7 @@
 
 	constructor(bodyLimit: number) {
 		super({
-			bodyLimit, keepAliveTimeout: keepAlive, forceCloseConnections: true, clientErrorHandler: refuseUnreadable,
+			bodyLimit, keepAliveTimeout: idleConnectionTimeout, forceCloseConnections: true, clientErrorHandler: rejectMalformedRequest,
 		});
 		this.#bodyLimit = bodyLimit;
 	}
@@ -109,7 +109,7 @@
 }
 
 /** Answers a head that the parser refuses, in the shape of every other error; nothing of it has been read as a request. */
-function refuseUnreadable(error: Error & {code?: string}, socket: Socket): void {
+function rejectMalformedRequest(error: Error & {code?: string}, socket: Socket): void {
 	if (!socket.writable) {
 		socket.destroy();
 		return;
--- a/src/node/membership/gateway.ts
+++ b/src/node/membership/gateway.ts
@@ -1,7 +1,7 @@
 /** Reaches a pool's dispatcher, on this node or another. */
 import {type Either, Left, Right} from 'purify-ts';
 import {
-	createFailure, joinSignals, readIncarnationUrl, type Clock, type Failure, type Incarnation, type PoolId,
+	createFailure, combineSignals, readIncarnationUrl, type Clock, type Failure, type Incarnation, type PoolId,
 } from '../../common/index.js';
 import type {NodeClients} from '../../rpc/index.js';
 import type {FleetView} from '../config/index.js';
@@ -107,7 +107,7 @@
 		const url = readIncarnationUrl(holder);
 		const termChanged = this.#termChanged.signal;
 		const answer = await this.#parts.clients.ask(url, request.patience + admitMargin, async (client, timeout) => {
-			const joined = joinSignals([signal, timeout, termChanged]);
+			const joined = combineSignals([signal, timeout, termChanged]);
 			try {
 				return await client.admit.mutate({pool, request}, {signal: joined.signal});
 			} finally {
--- a/src/node/membership/members.ts
+++ b/src/node/membership/members.ts
@@ -1,6 +1,6 @@
 /** The nodes of the system as this node sees them, put together from every source that says something of them. */
 import type {BoxId, Incarnation} from '../../common/index.js';
-import type {Entry, FleetView} from '../config/index.js';
+import type {ViewEntry, FleetView} from '../config/index.js';
 
 /** A node that has registered. */
 export type Member = {
@@ -112,7 +112,7 @@
 	}
 }
 
-function toMember(node: Entry<'Node'>): Member {
+function toMember(node: ViewEntry<'Node'>): Member {
 	return {
 		box: node.name as BoxId,
 		incarnation: node.incarnation as Incarnation,
--- a/src/node/membership/pool-host.ts
+++ b/src/node/membership/pool-host.ts
@@ -10,7 +10,7 @@
 } from '../../common/index.js';
 import type {Platform, PlatformObject} from '../../store/index.js';
 import type {NodeClients} from '../../rpc/index.js';
-import type {Entry, FleetView} from '../config/index.js';
+import type {ViewEntry, FleetView} from '../config/index.js';
 import {
 	Dispatcher, type Grant, type PoolDirectory, type ServerState,
 } from '../dispatch/index.js';
@@ -216,7 +216,7 @@
 	}
 
 	/** Writes a term for a holder, and finds out whether it is stored. */
-	async #writeTerm(pool: PoolId, holder: Member, record: Entry<'DispatcherTerm'> | undefined): Promise<TermWrite> {
+	async #writeTerm(pool: PoolId, holder: Member, record: ViewEntry<'DispatcherTerm'> | undefined): Promise<TermWrite> {
 		const spec = {holder: holder.box, incarnation: holder.incarnation, term: (record?.term ?? 0) + 1};
 		const written = await this.#parts.platform.writeObject({kind: 'DispatcherTerm', metadata: {name: pool}, spec}, record?.version ?? 0);
 		if (written.isRight()) {
@@ -239,7 +239,7 @@
 		return stored.spec.incarnation === holder.incarnation ? 'stored' : 'refused';
 	}
 
-	async #startDispatcher(pool: PoolId, record: Entry<'DispatcherTerm'>): Promise<void> {
+	async #startDispatcher(pool: PoolId, record: ViewEntry<'DispatcherTerm'>): Promise<void> {
 		const present = this.#dispatchers.get(pool);
 		if (present?.term === record.term && !present.isProvisional) {
 			return;
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -13,7 +13,7 @@
 } from '../common/index.js';
 import type {Platform, SpecOf} from '../store/index.js';
 import {
-	NodeClients, NodeService, type AdmitAnswer, type AnswerFrame, type HeartbeatAnswer, type Inheritance, type KeyedRequest, type PingAnswer,
+	NodeClients, NodeService, type AdmitAnswer, type AnswerFrame, type HeartbeatAnswer, type OutcomeTransfer, type KeyedRequest, type PingAnswer,
 } from '../rpc/index.js';
 import type {Settings} from '../settings/index.js';
 import {ConfigWatcher, FleetView} from './config/index.js';
@@ -49,14 +49,14 @@
 
 const bytesPerMebibyte = 1_048_576;
 const probeTimeout = 400;
-const inheritTimeout = 5000;
+const transferTimeout = 5000;
 const leaveNoticeTimeout = 500;
 
 /** Pause between looks at whether requests have ended, in milliseconds. */
-const drainPoll = 50;
+const drainPollInterval = 50;
 
 /** Connections are closed this long after the last request, so that the last answers get out. */
-const closingGrace = 100;
+const closeDelay = 100;
 
 /** One node process. */
 export class Node extends NodeService {
@@ -148,14 +148,14 @@
 	 * passes the run keys' outcomes on, and closes.
 	 */
 	async stop(): Promise<void> {
-		this.#stopping ??= this.#stopPlanned();
+		this.#stopping ??= this.#stopGracefully();
 		return this.#stopping;
 	}
 
 	/** Ends at once: answers in progress end with an error. */
 	async stopNow(): Promise<void> {
 		this.#entry.stopNow();
-		await waitFor(this.#parts.clock, closingGrace);
+		await waitFor(this.#parts.clock, closeDelay);
 		await this.#close();
 	}
 
@@ -216,8 +216,8 @@
 		return this.#entry.serveForwarded(request, signal);
 	}
 
-	override inherit(inheritance: Inheritance): void {
-		this.#entry.store.inherit(inheritance.incarnations, inheritance.outcomes);
+	override inherit(transfer: OutcomeTransfer): void {
+		this.#entry.store.inherit(transfer.incarnations, transfer.outcomes);
 	}
 
 	override noteLeaving(incarnation: Incarnation): void {
@@ -281,49 +281,49 @@
 		};
 	}
 
-	async #stopPlanned(): Promise<void> {
+	async #stopGracefully(): Promise<void> {
 		const {clock, logger, settings} = this.#parts;
 		this.#phase = 'leaving';
 		logger.info({event: 'node_leaving', box: settings.box}, 'node leaves');
-		const leftAt = clock.readMonotonic();
-		await Promise.all([this.#tellLeaving(), this.#registration.write(), this.#host.handOver()]);
+		const leavingSince = clock.readMonotonic();
+		await Promise.all([this.#announceLeaving(), this.#registration.write(), this.#host.handOver()]);
 
 		// Callers may hold this address until the answer they got it from has run out.
-		await waitFor(clock, (settings.entry.addressLifetimeSeconds * 1000) - (clock.readMonotonic() - leftAt), this.#supervisorStop.signal);
+		await waitFor(clock, (settings.entry.addressLifetimeSeconds * 1000) - (clock.readMonotonic() - leavingSince), this.#supervisorStop.signal);
 		while (this.#entry.inProgress > 0 && !this.#supervisorStop.signal.aborted) {
-			await waitFor(clock, drainPoll, this.#supervisorStop.signal);
+			await waitFor(clock, drainPollInterval, this.#supervisorStop.signal);
 		}
 
-		await this.#passOutcomes();
-		await waitFor(clock, closingGrace);
+		await this.#transferOutcomes();
+		await waitFor(clock, closeDelay);
 		await this.#close();
 	}
 
 	/** Peers hear it from the node itself, since the platform may be down. */
-	async #tellLeaving(): Promise<void> {
+	async #announceLeaving(): Promise<void> {
 		this.members.noteLeaving(this.#incarnation);
 		const others = this.members.listAll().filter(member => member.incarnation !== this.#incarnation);
 		await Promise.all(others.map(async member =>
 			this.#clients.ask(member.nodeUrl, leaveNoticeTimeout, async (client, signal) => client.noteLeaving.mutate({incarnation: this.#incarnation}, {signal}))));
 	}
 
-	async #passOutcomes(): Promise<void> {
+	async #transferOutcomes(): Promise<void> {
 		const {store} = this.#entry;
 		store.close();
-		const inheritance = {incarnations: store.listIncarnations(), outcomes: store.exportOutcomes()};
-		const heirs = this.members.listReady().filter(member => member.incarnation !== this.#incarnation);
-		for (const heir of orderByRendezvous(this.#incarnation, heirs, member => member.box)) {
-			const hasTaken = await this.#clients.ask(heir.nodeUrl, inheritTimeout, async (client, signal) => {
-				await client.inherit.mutate(inheritance, {signal});
+		const transfer = {incarnations: store.listIncarnations(), outcomes: store.exportOutcomes()};
+		const successors = this.members.listReady().filter(member => member.incarnation !== this.#incarnation);
+		for (const successor of orderByRendezvous(this.#incarnation, successors, member => member.box)) {
+			const wasAccepted = await this.#clients.ask(successor.nodeUrl, transferTimeout, async (client, signal) => {
+				await client.inherit.mutate(transfer, {signal});
 				return true;
 			});
-			if (hasTaken === true) {
-				this.#parts.logger.info({event: 'outcomes_passed', to: heir.box, count: inheritance.outcomes.length}, 'outcomes of run keys passed on');
+			if (wasAccepted === true) {
+				this.#parts.logger.info({event: 'outcomes_passed', to: successor.box, count: transfer.outcomes.length}, 'outcomes of run keys passed on');
 				return;
 			}
 		}
 
-		this.#parts.logger.warn({event: 'outcomes_lost', count: inheritance.outcomes.length}, 'no node took the outcomes of run keys; they will be answered as unknown');
+		this.#parts.logger.warn({event: 'outcomes_lost', count: transfer.outcomes.length}, 'no node took the outcomes of run keys; they will be answered as unknown');
 	}
 
 	async #close(): Promise<void> {
--- a/src/node/status-reporter.ts
+++ b/src/node/status-reporter.ts
@@ -4,7 +4,7 @@
 } from '../common/index.js';
 import type {NodeStatus} from './operators-controller.js';
 
-const interval = 10_000;
+const reportInterval = 10_000;
 
 /** Reports what `readStatus` says. Holds no state of its own. */
 export class StatusReporter extends Child {
@@ -22,7 +22,7 @@
 
 	override async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			await waitFor(this.#clock, interval, signal);
+			await waitFor(this.#clock, reportInterval, signal);
 			const status = this.#readStatus();
 			this.#metrics.recordGauge('control_bytes', status.controlBytes);
 			this.#metrics.recordGauge('requests_in_progress', status.requestsInProgress);
--- a/src/replay/replay.ts
+++ b/src/replay/replay.ts
@@ -1,7 +1,7 @@
 /** Replays a trace: the real dispatcher over fake engines on a virtual clock. */
 import {setImmediate as waitForTurn} from 'node:timers/promises';
 import {
-	createFailure, createSilentLogger, formatPoolId, SilentMetrics, VirtualClock, type BackendServerId, type ErrorKind, type Failure,
+	createFailure, createSilentLogger, formatPoolId, NoopMetrics, VirtualClock, type BackendServerId, type ErrorKind, type Failure,
 	type Incarnation, type OrganisationId, type PartnerId, type PoolId, type RequestId, type ServiceName,
 } from '../common/index.js';
 import {
@@ -73,7 +73,7 @@
 			clock: this.#clock,
 			ids: createCountingIds(),
 			logger: createSilentLogger(),
-			metrics: new SilentMetrics(),
+			metrics: new NoopMetrics(),
 			directory: new TraceDirectory(trace.fleet),
 			...parts,
 		});
--- a/src/routing/follower.ts
+++ b/src/routing/follower.ts
@@ -1,6 +1,6 @@
 /** Synchronises the local state with the source: lists once, then follows changes by long polling. */
 import {
-	Child, joinSignals, waitFor, type Clock, type Logger,
+	Child, combineSignals, waitFor, type Clock, type Logger,
 } from '../common/index.js';
 import type {Changes, ItemSource, Listing} from './fleet-source.js';
 import type {FleetState} from './fleet-state.js';
@@ -129,7 +129,7 @@
 		const removeListener = this.#items.health.addAssignmentListener(() => {
 			assignment.abort();
 		});
-		const combined = joinSignals([signal, assignment.signal]);
+		const combined = combineSignals([signal, assignment.signal]);
 		await waitFor(this.#clock, assignmentCheckInterval, combined.signal);
 		combined.release();
 		removeListener();
--- a/src/rpc/silence-limit.ts
+++ b/src/rpc/idle-timeout.ts
@@ -2,23 +2,23 @@
 import type {Clock} from '../common/index.js';
 
 /** A limit that counts anew with each sign. */
-export type SilenceLimit = {
+export type IdleTimeout = {
 	/** Fires after a silence, or with its parent. */
 	signal: AbortSignal;
 	/** Notes a sign: a part of the answer has come. */
-	hear(): void;
+	restart(): void;
 	/** Stops the timer. */
 	cancel(): void;
 };
 
 /** Makes a limit; `longest` is the silence that is borne, in milliseconds. */
-export function createSilenceLimit(clock: Clock, longest: number, parent: AbortSignal): SilenceLimit {
+export function createIdleTimeout(clock: Clock, maxIdleTime: number, parent: AbortSignal): IdleTimeout {
 	const controller = new AbortController();
 	const abort = () => {
 		controller.abort();
 	};
 
-	let timer = clock.setTimer(longest, abort);
+	let timer = clock.setTimer(maxIdleTime, abort);
 	parent.addEventListener('abort', abort);
 	if (parent.aborted) {
 		abort();
@@ -26,9 +26,9 @@
 
 	return {
 		signal: controller.signal,
-		hear() {
+		restart() {
 			timer.cancel();
-			timer = clock.setTimer(longest, abort);
+			timer = clock.setTimer(maxIdleTime, abort);
 		},
 		cancel() {
 			timer.cancel();
--- a/src/rpc/messages.ts
+++ b/src/rpc/messages.ts
@@ -5,42 +5,42 @@
 } from '../common/index.js';
 
 /** A branded id: a string when checked, its own type when compiled. */
-function createId<Id extends string>(): z.ZodType<Id> {
+function createIdSchema<Id extends string>(): z.ZodType<Id> {
 	return z.string().max(300) as unknown as z.ZodType<Id>;
 }
 
 const duration = z.number().min(0);
 
-export const poolSchema = z.object({pool: createId<PoolId>()});
+export const poolSchema = z.object({pool: createIdSchema<PoolId>()});
 export const urlSchema = z.object({url: z.url()});
-export const incarnationSchema = z.object({incarnation: createId<Incarnation>()});
+export const incarnationSchema = z.object({incarnation: createIdSchema<Incarnation>()});
 
 export const admitSchema = z.object({
-	pool: createId<PoolId>(),
+	pool: createIdSchema<PoolId>(),
 	request: z.object({
-		requestId: createId<RequestId>(),
-		organisation: createId<OrganisationId>(),
-		service: createId<ServiceName>(),
-		entry: createId<Incarnation>(),
+		requestId: createIdSchema<RequestId>(),
+		organisation: createIdSchema<OrganisationId>(),
+		service: createIdSchema<ServiceName>(),
+		entry: createIdSchema<Incarnation>(),
 		promptTokens: z.number().positive(),
 		outputTokens: z.number().min(0),
 		patience: duration,
-		excluded: z.array(createId<BackendServerId>()),
+		excluded: z.array(createIdSchema<BackendServerId>()),
 		prefixes: z.object({hashes: z.array(z.string().max(32)).max(16), firstTokens: z.number().min(0)}),
 	}),
 });
 
 export const heartbeatSchema = z.object({
-	pool: createId<PoolId>(),
-	entry: createId<Incarnation>(),
+	pool: createIdSchema<PoolId>(),
+	entry: createIdSchema<Incarnation>(),
 	entryUrl: z.string(),
-	released: z.array(createId<GrantId>()),
+	released: z.array(createIdSchema<GrantId>()),
 	activeCount: z.int().min(0),
 });
 
 export const keyedRequestSchema = z.object({
-	organisation: createId<OrganisationId>(),
-	runKey: createId<RunKey>(),
+	organisation: createIdSchema<OrganisationId>(),
+	runKey: createIdSchema<RunKey>(),
 	operation: z.enum(['chat', 'text', 'plain']),
 	method: z.string(),
 	url: z.string(),
@@ -48,11 +48,11 @@
 	body: z.string(),
 });
 
-export const inheritanceSchema = z.object({
-	incarnations: z.array(createId<Incarnation>()),
+export const outcomeTransferSchema = z.object({
+	incarnations: z.array(createIdSchema<Incarnation>()),
 	outcomes: z.array(z.object({
-		organisation: createId<OrganisationId>(),
-		runKey: createId<RunKey>(),
+		organisation: createIdSchema<OrganisationId>(),
+		runKey: createIdSchema<RunKey>(),
 		fingerprint: z.string(),
 		usableFor: z.number(),
 		answer: z.object({
--- a/src/rpc/node-clients.ts
+++ b/src/rpc/node-clients.ts
@@ -6,7 +6,7 @@
 import {Agent, buildConnector} from 'undici';
 import type {Clock} from '../common/index.js';
 import {
-	askWithin, rpcPath, sendNodeRequest, type NodeRequest, type NodeResponse,
+	askWithTimeout, rpcPath, sendNodeRequest, type NodeRequest, type NodeResponse,
 } from './node-fetch.js';
 import type {NodeRouter} from './router.js';
 
@@ -51,7 +51,7 @@
 	findClient(url: string): NodeClient {
 		let client = this.#clients.get(url);
 		if (client === undefined) {
-			client = this.#create(url);
+			client = this.#createClient(url);
 			this.#clients.set(url, client);
 		}
 
@@ -60,7 +60,7 @@
 
 	/** Calls a node and gives up after a time in milliseconds; undefined when there was no answer. */
 	async ask<Answer>(url: string, timeout: number, call: (client: NodeClient, signal: AbortSignal) => Promise<Answer>): Promise<Answer | undefined> {
-		return askWithin(this.clock, timeout, async signal => call(this.findClient(url), signal));
+		return askWithTimeout(this.clock, timeout, async signal => call(this.findClient(url), signal));
 	}
 
 	/** Closes all connections. */
@@ -73,7 +73,7 @@
 		return sendNodeRequest(this.#agent, target, init);
 	}
 
-	#create(url: string): NodeClient {
+	#createClient(url: string): NodeClient {
 		const options = {
 			url: `${url}${rpcPath}`,
 			headers: {authorization: `Bearer ${this.#secret}`},
@@ -91,27 +91,27 @@
 
 /** Adds up what sockets have carried. */
 class ByteCounter {
-	readonly #open = new Set<Socket>();
-	#closed = 0;
+	readonly #openSockets = new Set<Socket>();
+	#closedBytes = 0;
 
 	addSocket(socket: Socket): void {
-		this.#open.add(socket);
+		this.#openSockets.add(socket);
 		socket.once('close', () => {
-			this.#open.delete(socket);
-			this.#closed += countSocket(socket);
+			this.#openSockets.delete(socket);
+			this.#closedBytes += countSocketBytes(socket);
 		});
 	}
 
 	count(): number {
-		let total = this.#closed;
-		for (const socket of this.#open) {
-			total += countSocket(socket);
+		let total = this.#closedBytes;
+		for (const socket of this.#openSockets) {
+			total += countSocketBytes(socket);
 		}
 
 		return total;
 	}
 }
 
-function countSocket(socket: Socket): number {
+function countSocketBytes(socket: Socket): number {
 	return socket.bytesRead + socket.bytesWritten;
 }
--- a/src/rpc/node-fetch.ts
+++ b/src/rpc/node-fetch.ts
@@ -26,33 +26,33 @@
  *
  * Not by `fetch`, whose own headers alone are more than a ping's share of the bytes a node may send.
  */
-export async function sendNodeRequest(agent: Agent, target: string, init: NodeRequest, hear?: () => void): Promise<NodeResponse> {
+export async function sendNodeRequest(agent: Agent, target: string, options: NodeRequest, onProgress?: () => void): Promise<NodeResponse> {
 	const url = new URL(target);
 	const response = await agent.request({
 		origin: url.origin,
 		path: `${url.pathname}${url.search}`,
-		method: init.method === 'POST' ? 'POST' : 'GET',
-		headers: init.headers,
-		body: init.body,
-		signal: init.signal,
+		method: options.method === 'POST' ? 'POST' : 'GET',
+		headers: options.headers,
+		body: options.body,
+		signal: options.signal,
 	});
-	hear?.();
+	onProgress?.();
 	return {
 		ok: response.statusCode < 300,
 		status: response.statusCode,
 		body: response.body,
-		json: async () => hear === undefined ? response.body.json() : JSON.parse(await readText(response.body, hear)) as unknown,
+		json: async () => onProgress === undefined ? response.body.json() : JSON.parse(await readText(response.body, onProgress)) as unknown,
 	};
 }
 
 /** Calls a node and gives up after a time in milliseconds; undefined when there was no answer, and whoever asks logs what it does without. */
-export async function askWithin<Answer>(clock: Clock, timeout: number, call: (signal: AbortSignal) => Promise<Answer>): Promise<Answer | undefined> {
-	const limit = createTimeout(clock, timeout);
+export async function askWithTimeout<Answer>(clock: Clock, timeout: number, call: (signal: AbortSignal) => Promise<Answer>): Promise<Answer | undefined> {
+	const timeoutSignal = createTimeout(clock, timeout);
 	try {
-		return await call(limit.signal);
+		return await call(timeoutSignal.signal);
 	} catch {
 		return undefined;
 	} finally {
-		limit.cancel();
+		timeoutSignal.cancel();
 	}
 }
--- a/src/rpc/node-service.ts
+++ b/src/rpc/node-service.ts
@@ -44,7 +44,7 @@
 	| {kind: 'not_owner'};
 
 /** Outcomes that a stopping node passes on. */
-export type Inheritance = {
+export type OutcomeTransfer = {
 	incarnations: Incarnation[];
 	outcomes: StoredOutcome[];
 };
@@ -61,7 +61,7 @@
 	/** Whether this node answers for run keys of an incarnation. */
 	abstract answersFor(incarnation: Incarnation): boolean;
 	abstract runKeyed(request: KeyedRequest, signal: AbortSignal): AsyncIterable<AnswerFrame>;
-	abstract inherit(inheritance: Inheritance): void;
+	abstract inherit(inheritance: OutcomeTransfer): void;
 	/** Another node says that it leaves. */
 	abstract noteLeaving(incarnation: Incarnation): void;
 }
--- a/src/rpc/router.ts
+++ b/src/rpc/router.ts
@@ -2,7 +2,7 @@
 import {initTRPC} from '@trpc/server';
 import type {NodeService} from './node-service.js';
 import {
-	admitSchema, heartbeatSchema, incarnationSchema, inheritanceSchema, keyedRequestSchema, poolSchema, urlSchema,
+	admitSchema, heartbeatSchema, incarnationSchema, outcomeTransferSchema, keyedRequestSchema, poolSchema, urlSchema,
 } from './messages.js';
 
 const trpc = initTRPC.context<{service: NodeService}>().create();
@@ -20,7 +20,7 @@
 	runKeyed: procedure.input(keyedRequestSchema).mutation(async function * ({ctx, input, signal}) {
 		yield * ctx.service.runKeyed(input, signal ?? new AbortController().signal);
 	}),
-	inherit: procedure.input(inheritanceSchema).mutation(({ctx, input}) => {
+	inherit: procedure.input(outcomeTransferSchema).mutation(({ctx, input}) => {
 		ctx.service.inherit(input);
 	}),
 	noteLeaving: procedure.input(incarnationSchema).mutation(({ctx, input}) => {
--- a/src/standin/standin-fleet.ts
+++ b/src/standin/standin-fleet.ts
@@ -1,6 +1,6 @@
 /** A whole fleet of stand-ins in one process, with nodes before them: for `cresshook dev`, tests and benches. */
 import {
-	createSilentLogger, hashSecret, randomIdSource, SilentMetrics, type Clock, type IdSource, type Logger, type Metrics,
+	createSilentLogger, hashSecret, randomIdSource, NoopMetrics, type Clock, type IdSource, type Logger, type Metrics,
 } from '../common/index.js';
 import {Node} from '../node/index.js';
 import {HttpPlatform, type PlatformObjectInput} from '../store/index.js';
@@ -121,7 +121,7 @@
 			random,
 			ids: this.#options.ids ?? randomIdSource,
 			logger: this.#options.logger ?? createSilentLogger(),
-			metrics: this.#options.metrics ?? new SilentMetrics(),
+			metrics: this.#options.metrics ?? new NoopMetrics(),
 			clients: this.network.createClients(box, settings.nodes.secret, clock),
 		});
 		await node.start();
--- a/src/store/http-platform.ts
+++ b/src/store/http-platform.ts
@@ -10,11 +10,11 @@
 } from './platform.js';
 
 const basePath = '/apis/cresshook.dev/v1/objects';
-const callTimeout = 5000;
+const requestTimeout = 5000;
 const pageSize = 500;
 
 /** Milliseconds without an event or bookmark after which a watch is given up. */
-const watchSilence = 15_000;
+const watchIdleTimeout = 15_000;
 
 /** The platform's object API, reached by HTTP. */
 export class HttpPlatform extends Platform {
@@ -34,7 +34,7 @@
 		let resourceVersion = 0;
 		do {
 			const query = `?limit=${pageSize}&continue=${encodeURIComponent(token)}`;
-			const answer = await this.#call('GET', query);
+			const answer = await this.#sendRequest('GET', query);
 			if (answer.isLeft()) {
 				return Left(answer.extract());
 			}
@@ -50,36 +50,36 @@
 	}
 
 	override async watchObjects(after: number, handlers: WatchHandlers, signal: AbortSignal): Promise<PlatformFailure> {
-		const silence = new SilenceTimer(this.#clock, watchSilence, signal);
+		const idleTimer = new IdleTimer(this.#clock, watchIdleTimeout, signal);
 		try {
-			const response = await request(`${this.#url}${basePath}?watch=1&resourceVersion=${after}`, {dispatcher: this.#agent, signal: silence.signal});
+			const response = await request(`${this.#url}${basePath}?watch=1&resourceVersion=${after}`, {dispatcher: this.#agent, signal: idleTimer.signal});
 			if (response.statusCode !== 200) {
 				await response.body.dump();
 				return {kind: response.statusCode === 410 ? 'expired' : 'unreachable', message: `watch answered ${response.statusCode}`};
 			}
 
 			handlers.onOpen();
-			return await readWatch(response.body, handlers.onEvent, silence);
+			return await readWatch(response.body, handlers.onEvent, idleTimer);
 		} catch (error) {
 			return {kind: 'unreachable', message: readErrorMessage(error)};
 		} finally {
-			silence.cancel();
+			idleTimer.cancel();
 		}
 	}
 
 	override async readObject(kind: string, name: string): Promise<Either<PlatformFailure, PlatformObject | undefined>> {
-		const answer = await this.#call('GET', `/${kind}/${name}`);
+		const answer = await this.#sendRequest('GET', `/${kind}/${name}`);
 		return answer.map(body => body === undefined ? undefined : platformObjectSchema.parse(body));
 	}
 
 	override async writeObject(object: PlatformObjectInput, expectedVersion: number): Promise<Either<PlatformFailure, PlatformObject>> {
 		const body = {...object, metadata: {name: object.metadata.name, resourceVersion: String(expectedVersion)}};
-		const answer = await this.#call('PUT', `/${object.kind}/${object.metadata.name}`, body);
+		const answer = await this.#sendRequest('PUT', `/${object.kind}/${object.metadata.name}`, body);
 		return answer.map(stored => platformObjectSchema.parse(stored));
 	}
 
-	async #call(method: Dispatcher.HttpMethod, path: string, body?: unknown): Promise<Either<PlatformFailure, unknown>> {
-		const timeout = createTimeout(this.#clock, callTimeout);
+	async #sendRequest(method: Dispatcher.HttpMethod, path: string, body?: unknown): Promise<Either<PlatformFailure, unknown>> {
+		const timeout = createTimeout(this.#clock, requestTimeout);
 		try {
 			const response = await request(`${this.#url}${basePath}${path}`, {
 				method,
@@ -123,16 +123,16 @@
 /** Objects of kinds this version does not know are left out, so that a newer one can add kinds. */
 function parseObjects(items: unknown[]): PlatformObject[] {
 	return items.flatMap(item => {
-		const checked = platformObjectSchema.safeParse(item);
-		return checked.success ? [checked.data] : [];
+		const parsed = platformObjectSchema.safeParse(item);
+		return parsed.success ? [parsed.data] : [];
 	});
 }
 
-async function readWatch(body: AsyncIterable<Uint8Array>, onEvent: (event: WatchEvent) => void, silence: SilenceTimer): Promise<PlatformFailure> {
+async function readWatch(body: AsyncIterable<Uint8Array>, onEvent: (event: WatchEvent) => void, idleTimer: IdleTimer): Promise<PlatformFailure> {
 	const decoder = new TextDecoder();
 	let pending = '';
 	for await (const chunk of body) {
-		silence.restart();
+		idleTimer.restart();
 		pending += decoder.decode(chunk, {stream: true});
 		const lines = pending.split('\n');
 		pending = lines.pop() ?? '';
@@ -153,20 +153,20 @@
 }
 
 /** Aborts a watch that has been silent for too long: a half-open connection looks just so. */
-class SilenceTimer {
+class IdleTimer {
 	readonly #clock: Clock;
 	readonly #delay: number;
 	readonly #controller = new AbortController();
 	#timer: {cancel(): void};
 
-	constructor(clock: Clock, delay: number, outer: AbortSignal) {
+	constructor(clock: Clock, delay: number, parent: AbortSignal) {
 		this.#clock = clock;
 		this.#delay = delay;
 		this.#timer = this.#arm();
-		outer.addEventListener('abort', () => {
+		parent.addEventListener('abort', () => {
 			this.#controller.abort();
 		}, {once: true, signal: this.#controller.signal});
-		if (outer.aborted) {
+		if (parent.aborted) {
 			this.#controller.abort();
 		}
 	}
--- a/test/bound-logs.test.ts
+++ b/test/bound-logs.test.ts
@@ -13,11 +13,11 @@
 
 /** Reads what a pipe holds until nothing has come for a while. */
 async function readAll(fd: number): Promise<string> {
-	const piece = Buffer.alloc(65_536);
+	const buffer = Buffer.alloc(65_536);
 	let text = '';
 	for (let idle = 0; idle < 30;) {
 		try {
-			text += piece.toString('utf8', 0, readSync(fd, piece));
+			text += buffer.toString('utf8', 0, readSync(fd, buffer));
 			idle = 0;
 		} catch {
 			idle++;
--- a/test/change-configuration.test.ts
+++ b/test/change-configuration.test.ts
@@ -29,14 +29,14 @@
 	return answers.map(answer => answer.status);
 }
 
-function hasEverywhere(key: string): boolean {
+function isKeyKnownEverywhere(key: string): boolean {
 	return fleet.nodes.every(node => node.view.findKeyOwner(key) !== undefined);
 }
 
 test('a change is in force on every node within a second', async () => {
 	const start = fleet.clock.readMonotonic();
 	putKey('sk-new');
-	await fleet.until(() => hasEverywhere('sk-new'));
+	await fleet.until(() => isKeyKnownEverywhere('sk-new'));
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(1000);
 	expect(await listStatuses('sk-new')).toEqual([200, 200, 200]);
 	expect(await listStatuses(standinFleet.key)).toEqual([401, 401, 401]);
@@ -50,7 +50,7 @@
 	putKey('sk-second');
 	const start = fleet.clock.readMonotonic();
 	fleet.platform.faults = {};
-	await fleet.until(() => hasEverywhere('sk-second'));
+	await fleet.until(() => isKeyKnownEverywhere('sk-second'));
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(7000);
 	expect(fleet.nodes.map(node => node.view.findKeyOwner('sk-first'))).toEqual([undefined, undefined, undefined]);
 }, 30_000);
--- a/test/dispatch-properties.test.ts
+++ b/test/dispatch-properties.test.ts
@@ -3,7 +3,7 @@
 import {expect, test} from '@jest/globals';
 import fc from 'fast-check';
 import {
-	createFailure, createSilentLogger, formatPoolId, SilentMetrics, VirtualClock, type BackendServerId, type ErrorKind,
+	createFailure, createSilentLogger, formatPoolId, NoopMetrics, VirtualClock, type BackendServerId, type ErrorKind,
 	type Incarnation, type OrganisationId, type PartnerId, type RequestId, type ServiceName,
 } from '../src/common/index.js';
 import {
@@ -149,7 +149,7 @@
 			clock: this.clock,
 			ids: {createUuid: () => `g${this.#ids++}`},
 			logger: createSilentLogger(),
-			metrics: new SilentMetrics(),
+			metrics: new NoopMetrics(),
 			directory: this.directory,
 			refusesEarly: false,
 		});
