--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,23 +1,23 @@
-/** Time as a dependency, so that tests and replays can run on a virtual clock. */
+/** Injected clock, so that tests and replays can run on virtual time. */
 
-/** A timer that has been set and can be cancelled. Cancelling twice is harmless. */
+/** Handle of a scheduled callback. Cancelling it more than once has no effect. */
 export type Timer = {
 	cancel(): void;
 };
 
-/** A source of time. Durations and monotonic readings are in milliseconds. */
+/** Source of time. Durations and monotonic readings are in milliseconds. */
 export type Clock = {
-	/** Wall-clock time; may jump. */
+	/** Wall-clock time; may jump when the system clock is adjusted. */
 	now(): Date;
 
-	/** Milliseconds since an arbitrary start; never goes back. */
+	/** Milliseconds since an arbitrary start; never decreases. */
 	readMonotonic(): number;
 
-	/** Calls back once after a delay in milliseconds. */
+	/** Calls `callback` once after `delay` milliseconds. */
 	setTimer(delay: number, callback: () => void): Timer;
 };
 
-/** The clock of the operating system. */
+/** Clock of the operating system. */
 export const systemClock: Clock = {
 	now: () => new Date(),
 	readMonotonic: () => performance.now(),
@@ -32,7 +32,7 @@
 };
 
 /**
- * Waits for a delay in milliseconds.
+ * Waits for `delay` milliseconds.
  *
  * Resolves early, without an error, when the signal is aborted.
  */
@@ -54,10 +54,10 @@
 }
 
 /**
- * Makes an abort signal that fires after a delay in milliseconds, or with its parent; `cancel` stops the timer.
+ * Creates a signal that aborts after `delay` milliseconds or together with its parent; `cancel` stops the timer.
  *
- * `AbortSignal.any` and `AbortSignal.timeout` of Node.js 20 are not used for this: joined
- * signals that nobody holds are collected before they fire, and the call waits for ever.
+ * Does not use `AbortSignal.any` and `AbortSignal.timeout`: Node.js 20 may garbage-collect a combined
+ * signal without other references before it fires, and the call then never times out.
  */
 export function createTimeout(clock: Clock, delay: number, parent?: AbortSignal): {signal: AbortSignal; cancel(): void} {
 	const controller = new AbortController();
@@ -81,10 +81,10 @@
 }
 
 /**
- * A signal that fires with the first of several.
+ * Creates a signal that aborts as soon as any of the given signals does.
  *
- * In place of `AbortSignal.any`, for the reason given at `createTimeout`. `release` lets go of
- * the signals; call it where one of them outlives what is waited for.
+ * Replaces `AbortSignal.any` for the reason given at `createTimeout`. `release` removes the
+ * listeners; call it when one of the signals outlives the operation.
  */
 export function combineSignals(signals: AbortSignal[]): {signal: AbortSignal; release(): void} {
 	const controller = new AbortController();
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,25 +1,25 @@
 /**
- * The closed list of error kinds and the table from kind to answer.
+ * All error kinds and the HTTP response for each of them.
  *
- * `docs/ERRORS.md` shows the same table to callers; a test keeps the two in step.
+ * `docs/ERRORS.md` documents the same table; a test compares the two.
  */
 
-/** Whether the request ran: not at all, perhaps, in part, or wholly. */
+/** Whether the request was executed: not at all, possibly, partly or completely. */
 export type ExecutionState = 'no' | 'maybe' | 'partly' | 'yes';
 
-/** How an error kind is answered. */
+/** HTTP response properties of an error kind. */
 export type ErrorAnswer = {
 	/** HTTP status code. */
 	status: number;
-	/** The `type` field of an OpenAI-style error. */
+	/** `type` field of an OpenAI-style error. */
 	type: 'invalid_request_error' | 'authentication_error' | 'permission_error' | 'not_found_error' | 'rate_limit_error' | 'server_error';
-	/** Whether the request ran, unless the failure says otherwise. */
+	/** Default execution state; a failure may override it. */
 	ran: ExecutionState;
-	/** Seconds after which the caller may try again; absent where trying again cannot help. */
+	/** Seconds after which the caller may retry; absent when a retry cannot succeed or is unsafe. */
 	retryAfterSeconds?: number;
 };
 
-/** One row for each error kind. */
+/** Response properties by error kind. */
 export const errorTable = {
 	invalid_json: {status: 400, type: 'invalid_request_error', ran: 'no'},
 	invalid_request: {status: 400, type: 'invalid_request_error', ran: 'no'},
@@ -77,21 +77,21 @@
 	internal: {status: 500, type: 'server_error', ran: 'maybe'},
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** A kind of error; the list is closed. */
+/** Error kind. */
 export type ErrorKind = keyof typeof errorTable;
 
-/** Something that went wrong, in the terms of the table. */
+/** Expected error that is returned as a value. */
 export type Failure = {
 	kind: ErrorKind;
-	/** What happened and, where there is one, the mend; read by people. */
+	/** Human-readable description of the error and, if possible, how to resolve it. */
 	message: string;
-	/** Overrides the table's value where more is known. */
+	/** Overrides the default execution state. */
 	ran?: ExecutionState;
-	/** Overrides the table's value where a better hint is known. */
+	/** Overrides the default retry delay, in seconds. */
 	retryAfterSeconds?: number;
 };
 
-/** An error as callers see it: OpenAI's shape plus `ran`. */
+/** Error body sent to callers: the format of OpenAI with `ran` and `retry_after_seconds` added. */
 export type ErrorBody = {
 	error: {
 		message: string;
@@ -103,12 +103,12 @@
 	};
 };
 
-/** Makes a failure of a kind. */
+/** Creates a failure. */
 export function createFailure(kind: ErrorKind, message: string, overrides: Pick<Failure, 'ran' | 'retryAfterSeconds'> = {}): Failure {
 	return {kind, message, ...overrides};
 }
 
-/** Looks up how a failure is answered, with what the failure itself overrides. */
+/** Returns the response properties of a failure, including its overrides. */
 export function findAnswer(failure: Failure): ErrorAnswer {
 	const row: ErrorAnswer = errorTable[failure.kind];
 	return {
@@ -118,7 +118,7 @@
 	};
 }
 
-/** Formats a failure as the body of an error answer. */
+/** Formats a failure as an error response body. */
 export function formatErrorBody(failure: Failure): ErrorBody {
 	const answer = findAnswer(failure);
 	return {
@@ -133,7 +133,7 @@
 	};
 }
 
-/** Reads a message from anything thrown. */
+/** Returns the message of any thrown value. */
 export function readErrorMessage(thrown: unknown): string {
 	return thrown instanceof Error ? thrown.message : String(thrown);
 }
--- a/src/common/incarnation.ts
+++ b/src/common/incarnation.ts
@@ -1,44 +1,42 @@
 /**
- * Incarnations: one life of one node process, with the address at which it can be asked.
- *
- * `random.address`; both parts are URL-safe. An address token adds the
- * Unix second at which it was given out, a run key a caller's own UUID.
+ * Incarnation ids identify one run of a node process and contain its address: `random.address`, both URL-safe.
+ * An address token appends the Unix second of issue; a run key appends a UUID chosen by the caller.
  */
 import {Buffer} from 'node:buffer';
 import {type Either, Left, Right} from 'purify-ts';
 import {createFailure, type Failure} from './errors.js';
 import type {Incarnation, RunKey} from './ids.js';
 
-/** A run key taken apart. */
+/** Parsed run key. */
 export type RunKeyParts = {
 	incarnation: Incarnation;
-	/** Base URL of the owner's listener for nodes. */
+	/** Base URL of the node-to-node listener of the owning node. */
 	url: string;
-	/** Unix second at which the address token was given out, by the clock of the node that did. */
+	/** Unix second at which the address token was issued, by the clock of the issuing node. */
 	issuedSecond: number;
-	/** The caller's own part. */
+	/** UUID chosen by the caller. */
 	uuid: string;
 };
 
 const runKeyPattern = /^(?<random>[a-f\d]{16})\.(?<address>[\w-]+)\.(?<second>[a-z\d]{1,8})\.(?<uuid>[a-f\d]{8}(?:-[a-f\d]{4}){3}-[a-f\d]{12})$/;
 const secondRadix = 36;
 
-/** Makes the incarnation of a process from 16 random hexadecimal digits and its address. */
+/** Creates the incarnation id of a process from 16 random hexadecimal digits and its address. */
 export function createIncarnation(random: string, nodeUrl: string): Incarnation {
 	return `${random}.${Buffer.from(nodeUrl).toString('base64url')}` as Incarnation;
 }
 
-/** Formats the token that goes out with an address. */
+/** Formats the token that callers receive with an address. */
 export function formatAddressToken(incarnation: Incarnation, second: number): string {
 	return `${incarnation}.${second.toString(secondRadix)}`;
 }
 
-/** Reads the address of an incarnation. */
+/** Decodes the address contained in an incarnation id. */
 export function readIncarnationUrl(incarnation: Incarnation): string {
 	return Buffer.from(incarnation.split('.')[1] ?? '', 'base64url').toString();
 }
 
-/** Takes a run key apart. */
+/** Parses a run key. */
 export function parseRunKey(runKey: RunKey): Either<Failure, RunKeyParts> {
 	const groups = runKeyPattern.exec(runKey)?.groups as {random: string; address: string; second: string; uuid: string} | undefined;
 	if (groups === undefined) {
--- a/src/common/log.ts
+++ b/src/common/log.ts
@@ -1,10 +1,10 @@
-/** Structured logs: JSON lines through pino. */
+/** Structured logging: JSON lines written by pino. */
 import process from 'node:process';
 import {pino, type Logger, type DestinationStream} from 'pino';
 
 export type {Logger} from 'pino';
 
-/** Makes the root logger of a process. Prompts and keys are never passed to it. */
+/** Creates the root logger of a process. Prompts and API keys must never be logged. */
 export function createLogger(level: string, destination?: DestinationStream): Logger {
 	const options = {
 		level,
@@ -15,22 +15,21 @@
 	return destination === undefined ? pino(options) : pino(options, destination);
 }
 
-/** Bytes of lines gathered before they are written, and the longest they wait in milliseconds. */
+/** Bytes that are buffered before a write, and the maximum delay of a write in milliseconds. */
 const buffering = {minLength: 8192, periodicFlush: 200};
 
-/** Bytes of lines that wait for a reader at most: some thousand lines, and a hundredth of a small box's memory. */
+/** Maximum bytes of unwritten lines: some thousand lines, and one hundredth of the memory of a small box. */
 const maxBufferedBytes = 2 * 1024 * 1024;
 
-/** What a line of lost lines says. */
-const droppedLinesMessage = 'log lines were dropped: nobody read the output fast enough';
+/** Message of the line that reports dropped lines. */
+const droppedLinesMessage = 'log lines were dropped: the output was not read fast enough';
 
 /**
  * Opens a file descriptor for logs, standard output by default.
  *
- * Written without waiting: a reader of the logs that is slow would else hold the loop,
- * and with it every stream. When too much waits, lines are dropped and counted, and the
- * count is logged when there is room again. What is still gathered is written when the
- * process exits.
+ * Writes are asynchronous, because a slow log reader would otherwise block the event loop and
+ * with it every stream. When the buffer is full, lines are dropped; their number is logged once
+ * the buffer has drained. Buffered lines are flushed when the process exits.
  */
 export function openLogOutput(fd = 1): DestinationStream {
 	const output = pino.destination({
@@ -55,7 +54,7 @@
 	return output;
 }
 
-/** A logger that writes nothing. */
+/** Creates a logger that discards all lines. */
 export function createSilentLogger(): Logger {
 	return pino({level: 'silent'});
 }
--- a/src/common/metrics.ts
+++ b/src/common/metrics.ts
@@ -1,8 +1,9 @@
-/** Counters and timings, wherever they go. */
-/** Tags of a metric, by name. */
+/** Interface of the metrics backend. */
+
+/** Tag values of a metric by tag name. */
 export type MetricTags = Record<string, string>;
 
-/** Where metrics go. Timings are in milliseconds. */
+/** Receives counters, timings and gauges. Timings are in milliseconds. */
 export abstract class Metrics {
 	abstract incrementCounter(name: string, tags?: MetricTags, amount?: number): void;
 	abstract recordTiming(name: string, milliseconds: number, tags?: MetricTags): void;
@@ -10,7 +11,7 @@
 	abstract close(): void;
 }
 
-/** Metrics that go nowhere. */
+/** Discards all metrics. */
 export class NoopMetrics extends Metrics {
 	override incrementCounter(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
 	override recordTiming(): void {} // eslint-disable-line @typescript-eslint/no-empty-function
--- a/src/common/read-text.ts
+++ b/src/common/read-text.ts
@@ -1,7 +1,7 @@
-/** Reads a body while whoever waits is told that it comes. */
+/** Reading of streamed response bodies with progress callbacks. */
 import {Buffer} from 'node:buffer';
 
-/** Reads a body to its end as text; `hear` is called with each part. */
+/** Reads a whole body as UTF-8 text and calls `onChunk` for each chunk received. */
 export async function readText(body: AsyncIterable<Uint8Array>, onChunk: () => void): Promise<string> {
 	const chunks: Uint8Array[] = [];
 	for await (const chunk of body) {
--- a/src/common/rendezvous.ts
+++ b/src/common/rendezvous.ts
@@ -1,7 +1,7 @@
-/** Rendezvous hashing: every process that knows the same members orders them alike for a key. */
+/** Rendezvous hashing: processes with the same member list compute the same order for a key. */
 import {createHash} from 'node:crypto';
 
-/** Scores kept: those of a few keys for a thousand members; a node orders the fleet anew for each request. */
+/** Cached scores, enough for several keys and a thousand members; avoids hashing every member for each request. */
 const maxCachedScores = 8192;
 
 const scoreCache = new Map<string, string>();
@@ -21,7 +21,7 @@
 	return score;
 }
 
-/** The first choice among members for a key, without ordering the others; undefined when there are none. */
+/** Finds the preferred member for a key without sorting; undefined when there are no members. */
 export function findFirstByRendezvous<Member>(key: string, members: Iterable<Member>, getName: (member: Member) => string): Member | undefined {
 	let first: Member | undefined;
 	let highest = '';
@@ -36,7 +36,7 @@
 	return first;
 }
 
-/** Orders members for a key, the first choice first. */
+/** Sorts members by preference for a key, preferred member first. */
 export function orderByRendezvous<Member>(key: string, members: Iterable<Member>, getName: (member: Member) => string): Member[] {
 	const scored = [...members].map(member => ({member, score: computeScore(key, getName(member))}));
 	scored.sort((left, right) => left.score < right.score ? 1 : -1);
--- a/src/common/replaceable-agent.ts
+++ b/src/common/replaceable-agent.ts
@@ -1,15 +1,15 @@
-/** Connections that are left all together once one of them has been silent. */
+/** HTTP connection pool that can be replaced as a whole when one of its connections stalls. */
 import {Agent} from 'undici';
 
 /**
- * An agent of undici that can be replaced.
+ * An undici agent that can be replaced at run time.
  *
- * Open connections may fall silent without a reset while new ones are answered, and all of them
- * at once: with four kept ones, four calls after each other would wait for nothing.
+ * After a network fault all pooled connections may stall at once without a reset, while new ones
+ * work. Without replacement, four pooled connections would make four successive calls time out.
  */
 export class ReplaceableAgent {
 	readonly #options: Agent.Options;
-	/** Agents with connections; the last one takes new calls. */
+	/** Agents with open connections; the last one serves new calls. */
 	#agents: Agent[];
 
 	constructor(options: Agent.Options) {
@@ -17,15 +17,15 @@
 		this.#agents = [new Agent(options)];
 	}
 
-	/** The agent for a new call. */
+	/** Agent for new calls. */
 	get current(): Agent {
 		return this.#agents.at(-1)!;
 	}
 
 	/**
-	 * Leaves an agent on which a call had no answer: new calls take new connections, those under way keep theirs.
+	 * Replaces an agent on which a call got no response. New calls open new connections; calls in progress keep theirs.
 	 *
-	 * @returns false when it has been left already.
+	 * @returns false when the agent has already been replaced.
 	 */
 	replace(agent: Agent): boolean {
 		if (agent !== this.current) {
--- a/src/common/secrets.ts
+++ b/src/common/secrets.ts
@@ -1,8 +1,8 @@
-/** Keys and tokens: kept as SHA-256 hashes, compared in constant time. */
+/** API keys and tokens: stored as SHA-256 hashes and compared in constant time. */
 import {Buffer} from 'node:buffer';
 import {createHash, timingSafeEqual} from 'node:crypto';
 
-/** Hashes a secret; hexadecimal SHA-256. */
+/** Returns the hexadecimal SHA-256 of a secret. */
 export function hashSecret(secret: string): string {
 	return createHash('sha256').update(secret).digest('hex');
 }
@@ -14,7 +14,7 @@
 	return stored.length === presented.length && timingSafeEqual(presented, stored);
 }
 
-/** Reads the token of a `Bearer` authorization header; empty where there is none. */
+/** Extracts the token of a `Bearer` authorization header; empty when there is none. */
 export function readBearerToken(header: string | undefined): string {
 	const match = /^bearer +(?<token>\S+)$/i.exec(header ?? '');
 	return match?.groups?.token ?? '';
--- a/src/common/statsd-metrics.ts
+++ b/src/common/statsd-metrics.ts
@@ -1,8 +1,8 @@
-/** Metrics as StatsD datagrams; apart from the index, so that programs without them do not load the client. */
+/** StatsD metrics. Not exported from the index, so that programs without metrics do not load the client. */
 import {StatsD} from 'hot-shots';
 import {Metrics, type MetricTags} from './metrics.js';
 
-/** Metrics sent over UDP to a StatsD collector. A collector that is down costs nothing. */
+/** Sends metrics over UDP to a StatsD collector. An unavailable collector does not affect the process. */
 export class StatsdMetrics extends Metrics {
 	readonly #client: StatsD;
 
@@ -14,7 +14,7 @@
 			prefix: 'cresshook.',
 			maxBufferSize: 1400,
 			errorHandler() {
-				// Metrics are best effort: a lost datagram is not an event of its own.
+				// Metrics are best effort, so that lost datagrams are not logged.
 			},
 		});
 	}
--- a/src/common/supervisor.ts
+++ b/src/common/supervisor.ts
@@ -1,19 +1,19 @@
-/** Supervision: children that throw are started again, with backoff and a budget. */
+/** Supervision: restarts failed children with exponential backoff and a restart budget. */
 import {setMaxListeners} from 'node:events';
 import {type Clock, waitFor} from './clock.js';
 import {readErrorMessage} from './errors.js';
 import type {Logger} from './log.js';
 
-/** A long-running part of a process. */
+/** Long-running task of a process. */
 export abstract class Child {
-	/** Name in logs. */
+	/** Name of the child in log lines. */
 	abstract readonly name: string;
 
 	/**
 	 * Runs until the signal is aborted.
 	 *
-	 * Throwing, or returning before the abort, makes the supervisor start it again;
-	 * a child therefore rebuilds what it needs at the start of `run`.
+	 * The supervisor restarts a child that throws or returns before the abort,
+	 * so `run` must initialise its own state.
 	 */
 	abstract run(signal: AbortSignal): Promise<void>;
 }
@@ -22,7 +22,7 @@
 const maxBackoff = 5000;
 const defaultBudget = {restarts: 20, windowMilliseconds: 60_000};
 
-/** Runs children side by side; past the restart budget of one, gives up on all and escalates. */
+/** Runs children concurrently; stops all of them and throws when one exceeds its restart budget. */
 export class Supervisor extends Child {
 	override readonly name: string;
 	readonly #clock: Clock;
@@ -43,10 +43,10 @@
 		this.#children.push(child);
 	}
 
-	/** Runs all children until the signal is aborted. Throws when a child's restart budget is spent. */
+	/** Runs all children until the signal is aborted. Throws when a child exceeds its restart budget. */
 	override async run(signal: AbortSignal): Promise<void> {
 		const controller = new AbortController();
-		// Every wait of every child listens to this one signal.
+		// All waits of all children listen to this signal: disable the warning about many listeners.
 		setMaxListeners(0, controller.signal);
 		const stop = () => {
 			controller.abort();
@@ -82,12 +82,12 @@
 
 			if (restarts.length > this.#budget.restarts) {
 				controller.abort();
-				throw new Error(`${child.name} failed ${restarts.length} times, the last time with: ${reason}`);
+				throw new Error(`${child.name} failed ${restarts.length} times, last error: ${reason}`);
 			}
 
 			this.#logger.warn({
 				event: 'child_restarted', child: child.name, reason, backoff,
-			}, 'a child failed and is started again');
+			}, 'child failed and will be restarted');
 			await waitFor(this.#clock, backoff, signal);
 			backoff = Math.min(maxBackoff, restarts.length <= 1 ? initialBackoff : backoff * 2);
 		}
@@ -97,7 +97,7 @@
 async function runOnce(child: Child, signal: AbortSignal): Promise<string> {
 	try {
 		await child.run(signal);
-		return 'returned before it was asked to stop';
+		return 'returned before the abort signal';
 	} catch (error) {
 		return readErrorMessage(error);
 	}
--- a/src/common/virtual-clock.ts
+++ b/src/common/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** A clock that stands still until it is moved: for replays and tests. */
+/** Manually advanced clock for replays and tests. */
 import TinyQueue from 'tinyqueue';
 import type {Clock, Timer} from './clock.js';
 
@@ -9,10 +9,10 @@
 	isCancelled: boolean;
 };
 
-/** Unix time at which virtual clocks begin, in milliseconds. */
+/** Unix time at which virtual clocks start, in milliseconds. */
 const epoch = Date.UTC(2026, 0, 1);
 
-/** Time that moves only when told. Timers due at the same time fire in the order they were set. */
+/** Clock that changes only by `advance` and `fireNext`. Timers due at the same time fire in the order in which they were set. */
 export class VirtualClock implements Clock {
 	#elapsed = 0;
 	#nextSequence = 0;
@@ -38,7 +38,7 @@
 		};
 	}
 
-	/** Moves time forward by milliseconds and fires every timer that falls due on the way. */
+	/** Advances the clock by a number of milliseconds and fires every timer that becomes due. */
 	advance(milliseconds: number): void {
 		const end = this.#elapsed + milliseconds;
 		while (this.#findNext() !== undefined && this.#findNext()!.dueAt <= end) {
@@ -48,7 +48,7 @@
 		this.#elapsed = end;
 	}
 
-	/** Moves time to the next timer and fires it; false when none is left. */
+	/** Advances the clock to the next timer and fires it; returns false when no timer is pending. */
 	fireNext(): boolean {
 		const timer = this.#findNext();
 		if (timer === undefined) {
--- a/test/bound-logs.test.ts
+++ b/test/bound-logs.test.ts
@@ -8,10 +8,10 @@
 import {expect, test} from '@jest/globals';
 import {createLogger, openLogOutput} from '../src/common/index.js';
 
-/** Lines of about a kilobyte: five times what may wait. */
+/** Number of lines of about 1 kB, five times the maximum buffer size in total. */
 const lineCount = 10_000;
 
-/** Reads what a pipe holds until nothing has come for a while. */
+/** Reads from a pipe until no data has arrived for a while. */
 async function readAll(fd: number): Promise<string> {
 	const buffer = Buffer.alloc(65_536);
 	let text = '';
@@ -30,7 +30,7 @@
 	return text;
 }
 
-test('when nobody reads the logs, lines are dropped and counted, and nothing waits', async () => {
+test('when the log output is not read, lines are dropped and counted without blocking', async () => {
 	const folder = mkdtempSync(path.join(tmpdir(), 'cresshook-log-'));
 	const pipe = path.join(folder, 'pipe');
 	execFileSync('mkfifo', [pipe]);
@@ -51,7 +51,7 @@
 		expect(dropped).toBeGreaterThan(1000);
 		expect(kept + dropped).toBe(lineCount);
 	} finally {
-		// The descriptor stays open: the output looks for lines to write until the process ends.
+		// The descriptor stays open, because the output may write to it until the process exits.
 		rmSync(folder, {recursive: true});
 	}
 });
--- a/test/document-errors.test.ts
+++ b/test/document-errors.test.ts
@@ -6,19 +6,19 @@
 
 const rows = Object.entries(errorTable) as Array<[ErrorKind, ErrorAnswer]>;
 
-test('docs/ERRORS.md has the row of every error kind, and no other', () => {
+test('docs/ERRORS.md documents exactly the existing error kinds', () => {
 	const page = readFileSync('docs/ERRORS.md', 'utf8');
 	const documented = [...page.matchAll(/^\| `(?<kind>\w+)` \| (?<status>\d+) \| (?<ran>\w+) \| (?<retry>[\d—]+) \|/gm)]
 		.map(({groups}) => [groups?.kind, Number(groups?.status), groups?.ran, groups?.retry === '—' ? undefined : Number(groups?.retry)]);
 	expect(documented).toEqual(rows.map(([kind, row]) => [kind, row.status, row.ran, row.retryAfterSeconds]));
 });
 
-test('an error that may have run never carries a hint that invites a blind repeat, but for an unreachable owner', () => {
+test('only `owner_unreachable` suggests a retry although the request may have been executed', () => {
 	const inviting = rows.filter(([, row]) => row.ran !== 'no' && row.retryAfterSeconds !== undefined).map(([kind]) => kind);
 	expect(inviting).toEqual(['owner_unreachable']);
 });
 
-test('a failure overrides what its kind says', () => {
+test('a failure overrides the defaults of its kind', () => {
 	const failure = {
 		kind: 'overloaded' as const, message: 'full', ran: 'maybe' as const, retryAfterSeconds: 7,
 	};
