--- a/src/rpc/answers.ts
+++ b/src/rpc/answers.ts
@@ -1,26 +1,26 @@
-/** Answers and outcomes as nodes pass them to each other. */
+/** Serialised responses that nodes transfer between each other. */
 import type {OrganisationId, RunKey} from '../common/index.js';
 
-/** The beginning of an answer. */
+/** Status and headers of a response. */
 export type AnswerHead = {
 	status: number;
 	headers: Record<string, string>;
 };
 
-/** A recorded answer in a form that can be passed to another node. */
+/** Recorded response in a serialisable form. */
 export type StoredAnswer = {
 	head: AnswerHead;
-	/** Base64; absent when only the fact was kept. */
+	/** Base64; absent when only the completion was recorded, not the body. */
 	body?: string;
 	wasCut: boolean;
 };
 
-/** An outcome in a form that can be passed to a successor. */
+/** Outcome of a keyed request in a serialisable form, for transfer to another node. */
 export type StoredOutcome = {
 	organisation: OrganisationId;
 	runKey: RunKey;
 	fingerprint: string;
-	/** Milliseconds for which the key can still be used. */
+	/** Remaining lifetime of the run key in milliseconds. */
 	usableFor: number;
 	answer: StoredAnswer;
 };
--- a/src/rpc/idle-timeout.ts
+++ b/src/rpc/idle-timeout.ts
@@ -1,17 +1,17 @@
-/** A time limit on silence: an answer may take long, but not without a sign that it is on its way. */
+/** Idle timeout: limits the time between two chunks of a response, not its total duration. */
 import type {Clock} from '../common/index.js';
 
-/** A limit that counts anew with each sign. */
+/** Timeout that is restarted by each sign of progress. */
 export type IdleTimeout = {
-	/** Fires after a silence, or with its parent. */
+	/** Aborts when the idle time is exceeded, or together with its parent. */
 	signal: AbortSignal;
-	/** Notes a sign: a part of the answer has come. */
+	/** Restarts the timeout; call it for each chunk received. */
 	restart(): void;
 	/** Stops the timer. */
 	cancel(): void;
 };
 
-/** Makes a limit; `longest` is the silence that is borne, in milliseconds. */
+/** Creates an idle timeout; `maxIdleTime` is in milliseconds. */
 export function createIdleTimeout(clock: Clock, maxIdleTime: number, parent: AbortSignal): IdleTimeout {
 	const controller = new AbortController();
 	const abort = () => {
--- a/src/rpc/messages.ts
+++ b/src/rpc/messages.ts
@@ -1,10 +1,10 @@
-/** Checks on the messages between nodes; one schema a message. */
+/** Validation schemas of the messages between nodes. */
 import * as z from 'zod';
 import type {
 	GrantId, Incarnation, OrganisationId, PoolId, RequestId, RunKey, ServiceName, BackendServerId,
 } from '../common/index.js';
 
-/** A branded id: a string when checked, its own type when compiled. */
+/** Creates a schema that accepts a string of at most 300 characters and yields a branded id. */
 function createIdSchema<Id extends string>(): z.ZodType<Id> {
 	return z.string().max(300) as unknown as z.ZodType<Id>;
 }
--- a/src/rpc/node-clients.ts
+++ b/src/rpc/node-clients.ts
@@ -1,4 +1,4 @@
-/** Clients of other nodes: one connection pool, the shared secret on each message, bytes counted. */
+/** RPC clients of other nodes with a shared connection pool, authentication and traffic accounting. */
 import type {Socket} from 'node:net';
 import {
 	createTRPCClient, httpBatchStreamLink, httpLink, splitLink, type TRPCClient,
@@ -10,12 +10,12 @@
 } from './node-fetch.js';
 import type {NodeRouter} from './router.js';
 
-/** A client of one node. */
+/** RPC client of one node. */
 export type NodeClient = TRPCClient<NodeRouter>;
 
-/** Keeps a client for each node asked. */
+/** Caches one client for each node URL. */
 export class NodeClients {
-	/** The clock by which calls time out. */
+	/** Clock for call timeouts. */
 	readonly clock: Clock;
 	readonly #secret: string;
 	readonly #counter = new ByteCounter();
@@ -42,12 +42,12 @@
 		});
 	}
 
-	/** Bytes sent to and received from other nodes by calls of this node. */
+	/** Bytes sent and received by calls of this node to other nodes. */
 	countBytes(): number {
 		return this.#counter.count();
 	}
 
-	/** The client of the node at a URL. */
+	/** Returns the client of the node at a URL. */
 	findClient(url: string): NodeClient {
 		let client = this.#clients.get(url);
 		if (client === undefined) {
@@ -58,7 +58,7 @@
 		return client;
 	}
 
-	/** Calls a node and gives up after a time in milliseconds; undefined when there was no answer. */
+	/** Calls a node with a timeout in milliseconds; returns undefined when the call fails or times out. */
 	async ask<Answer>(url: string, timeout: number, call: (client: NodeClient, signal: AbortSignal) => Promise<Answer>): Promise<Answer | undefined> {
 		return askWithTimeout(this.clock, timeout, async signal => call(this.findClient(url), signal));
 	}
@@ -68,7 +68,7 @@
 		await this.#agent.destroy();
 	}
 
-	/** Sends one HTTP request; tests put a faulty network in its place. */
+	/** Sends one HTTP request; tests override it to simulate network faults. */
 	protected async send(target: string, init: NodeRequest): Promise<NodeResponse> {
 		return sendNodeRequest(this.#agent, target, init);
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-/** Adds up what sockets have carried. */
+/** Counts the bytes sent and received by open and closed sockets. */
 class ByteCounter {
 	readonly #openSockets = new Set<Socket>();
 	#closedBytes = 0;
--- a/src/rpc/node-fetch.ts
+++ b/src/rpc/node-fetch.ts
@@ -1,11 +1,11 @@
-/** What calls between nodes have in common: tRPC's messages over a pool of undici, each with a time limit. */
+/** HTTP transport of RPC calls between nodes: tRPC over an undici connection pool, with timeouts. */
 import type {Agent} from 'undici';
 import {createTimeout, readText, type Clock} from '../common/index.js';
 
-/** Path under which a node's router is served. */
+/** URL path of the RPC router of a node. */
 export const rpcPath = '/rpc';
 
-/** A message to a node, as tRPC's links describe it. */
+/** Request options that tRPC links pass to `fetch`. */
 export type NodeRequest = {
 	method?: string;
 	headers?: Record<string, string>;
@@ -13,7 +13,7 @@
 	signal?: AbortSignal;
 };
 
-/** An answer, as far as tRPC's links read it. */
+/** Subset of the `fetch` response that tRPC links use. */
 export type NodeResponse = {
 	ok: boolean;
 	status: number;
@@ -22,9 +22,9 @@
 };
 
 /**
- * Sends one HTTP request; `hear` is called with the head of the answer and with each part of its body.
+ * Sends one HTTP request and calls `onProgress` for the response head and for each chunk of its body.
  *
- * Not by `fetch`, whose own headers alone are more than a ping's share of the bytes a node may send.
+ * Does not use `fetch`, because its default headers alone exceed the traffic budget of a ping.
  */
 export async function sendNodeRequest(agent: Agent, target: string, options: NodeRequest, onProgress?: () => void): Promise<NodeResponse> {
 	const url = new URL(target);
@@ -45,7 +45,7 @@
 	};
 }
 
-/** Calls a node and gives up after a time in milliseconds; undefined when there was no answer, and whoever asks logs what it does without. */
+/** Runs a call with a timeout in milliseconds; returns undefined when it fails or times out, which the caller of this function should log. */
 export async function askWithTimeout<Answer>(clock: Clock, timeout: number, call: (signal: AbortSignal) => Promise<Answer>): Promise<Answer | undefined> {
 	const timeoutSignal = createTimeout(clock, timeout);
 	try {
--- a/src/rpc/node-service.ts
+++ b/src/rpc/node-service.ts
@@ -1,26 +1,26 @@
-/** What nodes ask of each other. */
+/** Service interface and message types of the RPC between nodes. */
 import type {
 	Failure, Incarnation, OrganisationId, PoolId, RunKey,
 } from '../common/index.js';
 import type {AdmitRequest, Grant, Heartbeat} from '../node/dispatch/index.js';
 import type {AnswerHead, StoredOutcome} from './answers.js';
 
-/** Answer to a ping. */
+/** Response to a ping. */
 export type PingAnswer = {
 	incarnation: Incarnation;
 	isReady: boolean;
 };
 
-/** Answer to an admission: exactly one of the two is there. */
+/** Response to an admission request. */
 export type AdmitAnswer = {grant: Grant} | {failure: Failure};
 
-/** Answer to a heartbeat. */
+/** Response to a heartbeat. */
 export type HeartbeatAnswer = {
-	/** False when this node is not the pool's dispatcher. */
+	/** False when the receiving node is not the dispatcher of the pool. */
 	isDispatcher: boolean;
 };
 
-/** A request with a run key, passed to the node that owns the key. */
+/** Request with a run key, forwarded to the node that owns the key. */
 export type KeyedRequest = {
 	organisation: OrganisationId;
 	runKey: RunKey;
@@ -33,35 +33,35 @@
 	body: string;
 };
 
-/** A piece of a keyed request's answer. */
+/** Frame of the streamed response to a keyed request. */
 export type AnswerFrame =
 	| {kind: 'head'; head: AnswerHead}
-	/** Body is base64. */
+	/** `body` is base64. */
 	| {kind: 'body'; body: string}
 	| {kind: 'end'}
 	| {kind: 'cut'}
-	/** This node does not answer for the key's incarnation. */
+	/** The receiving node does not own the run keys of this incarnation. */
 	| {kind: 'not_owner'};
 
-/** Outcomes that a stopping node passes on. */
+/** Outcomes that a stopping node transfers, with the incarnations that it owned. */
 export type OutcomeTransfer = {
 	incarnations: Incarnation[];
 	outcomes: StoredOutcome[];
 };
 
-/** A node as other nodes see it. */
+/** RPC interface of a node. */
 export abstract class NodeService {
 	abstract ping(): PingAnswer;
-	/** Pings another node on behalf of the asker; a second opinion before a takeover. */
+	/** Pings another node on behalf of the caller, to confirm a failure before a takeover. */
 	abstract probe(url: string): Promise<boolean>;
 	abstract admit(pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<AdmitAnswer>;
 	abstract acceptHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer;
-	/** Grants of a pool that this node's entry holds. */
+	/** Lists the grants of a pool that this node holds. */
 	abstract listGrants(pool: PoolId): Grant[];
-	/** Whether this node answers for run keys of an incarnation. */
+	/** Whether this node owns the run keys of an incarnation. */
 	abstract answersFor(incarnation: Incarnation): boolean;
 	abstract runKeyed(request: KeyedRequest, signal: AbortSignal): AsyncIterable<AnswerFrame>;
 	abstract inherit(inheritance: OutcomeTransfer): void;
-	/** Another node says that it leaves. */
+	/** Records that another node is shutting down. */
 	abstract noteLeaving(incarnation: Incarnation): void;
 }
--- a/src/rpc/packed-text.ts
+++ b/src/rpc/packed-text.ts
@@ -1,20 +1,20 @@
-/** Long messages between nodes, made short. Pure. */
+/** Compression of large messages between nodes. */
 import {Buffer} from 'node:buffer';
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 
-/** A value as text; `deflated` ones are compressed, in base64. */
+/** JSON text of a value; in the `deflated` form it is compressed and encoded in base64. */
 export type PackedText = {form: 'plain' | 'deflated'; text: string};
 
-/** Text that is shorter is sent as it is, in characters: compressing gains less than a datagram. */
+/** Minimum length for compression in characters; for shorter texts it saves less than one datagram. */
 const minCompressedLength = 1500;
 
-/** Effort of compression: 2,000 routes go from 542 kB to 27 kB in 2.5 ms, with the most effort to 25 kB in 4.2 ms. */
+/** Compression level of zlib: higher levels take much longer for little gain in size. */
 const compressionLevel = 1;
 
-/** Most that a message may be once it is unpacked, in bytes: forty thousand routes. */
+/** Maximum size of a decompressed message in bytes, enough for forty thousand routes. */
 const maxUnpackedBytes = 64 * 1024 * 1024;
 
-/** Writes a value. */
+/** Serialises a value and compresses it when it is large. */
 export function formatPacked(value: unknown): PackedText {
 	const text = JSON.stringify(value);
 	return text.length < minCompressedLength
@@ -22,7 +22,7 @@
 		: {form: 'deflated', text: deflateRawSync(text, {level: compressionLevel}).toString('base64')};
 }
 
-/** Reads a value that a node of the same program wrote; throws when the text is broken. */
+/** Parses a value that was serialised by `formatPacked` on another node; throws when the text is invalid. */
 export function parsePacked<Value>({form, text}: PackedText): Value {
 	const plain = form === 'plain' ? text : inflateRawSync(Buffer.from(text, 'base64'), {maxOutputLength: maxUnpackedBytes}).toString();
 	return JSON.parse(plain) as Value;
--- a/src/rpc/router.ts
+++ b/src/rpc/router.ts
@@ -1,4 +1,4 @@
-/** The tRPC router that nodes answer each other with. */
+/** RPC router for calls between nodes, built with tRPC. */
 import {initTRPC} from '@trpc/server';
 import type {NodeService} from './node-service.js';
 import {
@@ -8,7 +8,7 @@
 const trpc = initTRPC.context<{service: NodeService}>().create();
 const {procedure} = trpc;
 
-/** All calls between nodes. */
+/** Procedures that other nodes can call. */
 export const nodeRouter = trpc.router({
 	ping: procedure.query(({ctx}) => ctx.service.ping()),
 	probe: procedure.input(urlSchema).query(async ({ctx, input}) => ({isReachable: await ctx.service.probe(input.url)})),
@@ -28,5 +28,5 @@
 	}),
 });
 
-/** Type of the router, for clients. */
+/** Router type for typed clients. */
 export type NodeRouter = typeof nodeRouter;
