--- a/src/store/http-platform.ts
+++ b/src/store/http-platform.ts
@@ -1,4 +1,4 @@
-/** Client of the platform's object API over HTTP. */
+/** HTTP client of the object API of the platform. */
 import {Left, Right, type Either} from 'purify-ts';
 import {Agent, request, type Dispatcher} from 'undici';
 import {type Clock, createTimeout, readErrorMessage} from '../common/index.js';
@@ -13,10 +13,10 @@
 const requestTimeout = 5000;
 const pageSize = 500;
 
-/** Milliseconds without an event or bookmark after which a watch is given up. */
+/** Milliseconds without an event or bookmark after which a watch is aborted. */
 const watchIdleTimeout = 15_000;
 
-/** The platform's object API, reached by HTTP. */
+/** Accesses the object API over HTTP. */
 export class HttpPlatform extends Platform {
 	readonly #url: string;
 	readonly #clock: Clock;
@@ -41,7 +41,7 @@
 
 			const page = answer.extract() as ListPage;
 			objects.push(...parseObjects(page.items));
-			// All pages are of one version; the first names it.
+			// All pages belong to the same version, which the first page contains.
 			resourceVersion ||= Number(page.metadata.resourceVersion);
 			token = page.metadata.continue ?? '';
 		} while (token !== '');
@@ -120,7 +120,7 @@
 	return Left({kind: response.statusCode >= 500 || response.statusCode === 429 ? 'unreachable' : 'rejected', message});
 }
 
-/** Objects of kinds this version does not know are left out, so that a newer one can add kinds. */
+/** Parses objects and skips invalid ones and unknown kinds, so that newer versions can add kinds. */
 function parseObjects(items: unknown[]): PlatformObject[] {
 	return items.flatMap(item => {
 		const parsed = platformObjectSchema.safeParse(item);
@@ -139,7 +139,7 @@
 		for (const line of lines.filter(text => text !== '')) {
 			const event = JSON.parse(line) as {type: string; object: {code?: number}};
 			if (event.type === 'ERROR') {
-				return {kind: event.object.code === 410 ? 'expired' : 'unreachable', message: 'the watch was ended by the platform'};
+				return {kind: event.object.code === 410 ? 'expired' : 'unreachable', message: 'the platform closed the watch with an error'};
 			}
 
 			const [object] = event.type === 'BOOKMARK' ? [] : parseObjects([event.object]);
@@ -152,7 +152,7 @@
 	return {kind: 'unreachable', message: 'the watch ended'};
 }
 
-/** Aborts a watch that has been silent for too long: a half-open connection looks just so. */
+/** Aborts a watch that has been idle for too long, since a half-open connection delivers no error. */
 class IdleTimer {
 	readonly #clock: Clock;
 	readonly #delay: number;
--- a/src/store/objects.ts
+++ b/src/store/objects.ts
@@ -1,8 +1,8 @@
 /**
- * The kinds of objects kept in the platform's object API.
+ * Schemas of the objects stored in the object API of the platform.
  *
- * The API follows the Kubernetes conventions: every object has a `kind`, a name
- * and a `resourceVersion` that rises with each write to the collection.
+ * The API follows Kubernetes conventions: each object has a `kind`, a name and
+ * a `resourceVersion` that increases with each write to the collection.
  */
 import * as z from 'zod';
 
@@ -10,47 +10,47 @@
 
 const organisationSpec = z.object({
 	partner: z.string(),
-	/** SHA-256 of the organisation's keys, hexadecimal. */
+	/** Hexadecimal SHA-256 of the API keys. */
 	keyHashes: z.array(z.string()),
-	/** Services the organisation may call. */
+	/** Services that the organisation may call. */
 	services,
-	/** Requests a minute to one pool; absent where not limited. */
+	/** Maximum requests per minute to one pool; absent when unlimited. */
 	requestsPerMinute: z.number().positive().optional(),
-	/** Tokens a minute to one pool, prompt and longest output. */
+	/** Maximum tokens per minute to one pool, counting the prompt and the maximum output; absent when unlimited. */
 	tokensPerMinute: z.number().positive().optional(),
 });
 
 const serviceSpec = z.object({
 	partner: z.string(),
 	region: z.string(),
-	/** `engine` runs a model; `plain` is any other HTTP service. */
+	/** `engine` serves a model; `plain` is any other HTTP service. */
 	type: z.enum(['engine', 'plain']),
-	/** Path under which a plain service is called; ends without a slash. */
+	/** URL path prefix of a plain service, without a trailing slash. */
 	pathPrefix: z.string().optional(),
-	/** Time bound of a request that names none, in milliseconds. */
+	/** Default time bound of a request, in milliseconds. */
 	defaultBound: z.int().positive(),
-	/** Longest time bound a request may name, in milliseconds. */
+	/** Maximum time bound that a request may specify, in milliseconds. */
 	longestBound: z.int().positive(),
-	/** Whether engines take a prompt with the beginning of its answer and go on from there. */
+	/** Whether engines can continue a partial answer that is sent with the prompt. */
 	continuable: z.boolean().default(false),
-	/** Tokens of output reserved when a request names none. */
+	/** Output tokens reserved for a request without an explicit limit. */
 	defaultOutputTokens: z.int().positive().default(512),
 });
 
 const backendServerSpec = z.object({
 	service: z.string(),
-	/** Base URL by IP number. */
+	/** Base URL with an IP address as host. */
 	url: z.string(),
 	availabilityZone: z.string(),
-	/** Tokens of KV cache an engine holds; requests at once for a plain service. */
+	/** Tokens in the KV cache of an engine; maximum concurrent requests of a plain service. */
 	capacity: z.int().positive(),
-	/** A leaving backend server gets no new work. */
+	/** A backend server in the state `leaving` gets no new requests. */
 	state: z.enum(['live', 'leaving']).default('live'),
-	/** Prompt tokens read a second. The default is an assumption: the partners have not supplied figures. */
+	/** Prompt tokens prefilled per second. The default is an estimate, since the partners have not supplied figures. */
 	prefillRate: z.number().positive().default(20_000),
-	/** Milliseconds between two tokens of an answer. An assumption too. */
+	/** Milliseconds between two output tokens. The default is an estimate too. */
 	tokenInterval: z.number().positive().default(30),
-	/** Whether it checks the fence of an order. */
+	/** Whether the server rejects orders with an outdated fencing token. */
 	checksOrders: z.boolean().default(false),
 });
 
@@ -64,19 +64,19 @@
 });
 
 const dispatcherTermSpec = z.object({
-	/** Name of the box that holds the term. */
+	/** Name of the box whose node holds the term. */
 	holder: z.string(),
 	incarnation: z.string(),
 	term: z.int().positive(),
 });
 
-/** A partner's policy; its name is the partner's. Programs are CEL texts, as src/policy describes them. */
+/** Policy of the partner of the same name. Programs are CEL expressions, described in src/policy. */
 const policySpec = z.object({partner: z.string(), programs: z.record(z.string(), z.string())});
 
-/** Shares of partners in a pool; its name is the pool's. */
+/** Capacity shares of the partners in the pool of the same name. */
 const shareAgreementSpec = z.object({shares: z.record(z.string(), z.number().positive())});
 
-/** The platform's lagging list of boxes; the system reads it and never writes it. */
+/** Box known to the platform. The list is eventually consistent, and this system only reads it. */
 const liveBoxSpec = z.object({state: z.enum(['live', 'leaving'])});
 
 const metadata = z.object({name: z.string(), resourceVersion: z.coerce.number().default(0)});
@@ -85,7 +85,7 @@
 	return z.object({kind: z.literal(kind), metadata, spec});
 }
 
-/** Checks an object read from the platform. */
+/** Validates an object read from the platform. */
 export const platformObjectSchema = z.discriminatedUnion('kind', [
 	defineKind('Organisation', organisationSpec),
 	defineKind('Service', serviceSpec),
@@ -97,16 +97,16 @@
 	defineKind('ShareAgreement', shareAgreementSpec),
 ]);
 
-/** An object of any kind. */
+/** Object of any kind. */
 export type PlatformObject = z.infer<typeof platformObjectSchema>;
-/** An object as written by hand or by a test, with defaults left out. */
+/** Object before validation: fields with defaults may be omitted. */
 export type PlatformObjectInput = z.input<typeof platformObjectSchema>;
-/** Names of the kinds. */
+/** Name of an object kind. */
 export type ObjectKind = PlatformObject['kind'];
-/** The spec of a kind. */
+/** Spec of an object kind. */
 export type SpecOf<Kind extends ObjectKind> = Extract<PlatformObject, {kind: Kind}>['spec'];
 
-/** A change seen by a watch. */
+/** Change reported by a watch. */
 export type WatchEvent = {
 	type: 'ADDED' | 'MODIFIED' | 'DELETED';
 	object: PlatformObject;
