--- a/src/node/config/config-watcher.ts
+++ b/src/node/config/config-watcher.ts
@@ -1,8 +1,7 @@
 /**
- * Keeps the fleet view up to date: lists once, then watches from the list's version.
+ * Keeps the fleet view up to date: lists all objects once, then watches for changes.
  *
- * To come back after a failure it needs only the view: it goes on from the
- * revision in force, and lists again when that has expired.
+ * After a failure it resumes the watch from the revision of the view, and lists again if that revision has expired.
  */
 import {
 	Child, waitFor, type Clock, type Logger,
@@ -13,7 +12,7 @@
 const initialBackoff = 100;
 const maxBackoff = 5000;
 
-/** Follows the platform's objects. */
+/** Replicates the objects of the platform into the fleet view. */
 export class ConfigWatcher extends Child {
 	override readonly name = 'config-watcher';
 	readonly #platform: Platform;
@@ -32,7 +31,7 @@
 		this.#random = parts.random;
 	}
 
-	/** Whether a watch is open: the node knows what is in force. */
+	/** Whether a watch is open, so that the view is up to date. */
 	get isCurrent(): boolean {
 		return this.#isCurrent;
 	}
@@ -62,8 +61,8 @@
 
 			this.#isCurrent = false;
 			isListRequired = failure.kind === 'expired';
-			this.#logger.info({event: 'watch_ended', reason: failure.message, revision: this.#view.revision}, 'watch of the platform ended');
-			// A watch that held for long is no sign of an outage: start again from the shortest wait.
+			this.#logger.info({event: 'watch_ended', reason: failure.message, revision: this.#view.revision}, 'platform watch ended');
+			// A watch that lasted long does not indicate an outage, so the backoff is reset.
 			const watchDuration = this.#clock.readMonotonic() - startedAt;
 			backoff = await this.#pause(watchDuration > maxBackoff ? initialBackoff : backoff, signal);
 		}
@@ -73,7 +72,7 @@
 		const result = await this.#platform.listObjects();
 		return result.caseOf({
 			Left: failure => {
-				this.#logger.warn({event: 'list_failed', reason: failure.message}, 'the platform did not answer');
+				this.#logger.warn({event: 'list_failed', reason: failure.message}, 'listing the objects of the platform failed');
 				return false;
 			},
 			Right: list => {
@@ -83,7 +82,7 @@
 		});
 	}
 
-	/** Waits between half and all of the backoff, so that nodes do not come back all at once. */
+	/** Waits for 50 to 100% of the backoff, so that the nodes do not reconnect simultaneously; returns the next backoff. */
 	async #pause(backoff: number, signal: AbortSignal): Promise<number> {
 		await waitFor(this.#clock, backoff * (0.5 + (this.#random() / 2)), signal);
 		return Math.min(maxBackoff, backoff * 2);
--- a/src/node/config/fleet-view.ts
+++ b/src/node/config/fleet-view.ts
@@ -1,7 +1,7 @@
 /**
- * The configuration in force on a node: every object of the platform, indexed.
+ * Indexed copy of all platform objects: the configuration that a node applies.
  *
- * The revision only rises: an event or list older than what is known changes nothing.
+ * The revision never decreases; outdated events and lists are ignored.
  */
 import {
 	formatPoolId, type BackendServerId, type OrganisationId, type PoolId, type ServiceName,
@@ -11,32 +11,32 @@
 } from '../../store/index.js';
 import {OrganisationStore, MapStore, type KindStore} from './kind-store.js';
 
-/** A named object with its version. */
+/** Spec of an object with its name and version. */
 export type ViewEntry<Kind extends ObjectKind> = SpecOf<Kind> & {name: string; version: number};
 
-/** Called after objects of a kind have changed. */
+/** Callback that is invoked after objects of a kind have changed. */
 export type ViewListener = (kind: ObjectKind) => void;
 
-/** The objects known, by kind and name. */
+/** Stores the known objects by kind and name. */
 export class FleetView {
 	#revision = 0;
 	readonly #organisations = new OrganisationStore();
 	readonly #stores = new Map<ObjectKind, KindStore>([['Organisation', this.#organisations]]);
 	readonly #listeners = new Set<ViewListener>();
-	/** Versions of objects seen deleted, so that a late event does not bring them back. */
+	/** Versions of deleted objects, so that a delayed event does not restore them. */
 	readonly #deleted = new Map<string, number>();
 
-	/** The version of the newest change applied; 0 before the first full list. */
+	/** Version of the latest list or watch event applied; 0 before the first list. */
 	get revision(): number {
 		return this.#revision;
 	}
 
-	/** Subscribes to changes. */
+	/** Registers a listener for changes. */
 	addListener(listener: ViewListener): void {
 		this.#listeners.add(listener);
 	}
 
-	/** Applies a full list. A list older than the revision in force changes nothing. */
+	/** Applies a complete list. Ignores a list that is older than the current revision. */
 	applyList(list: ObjectList): void {
 		if (list.resourceVersion < this.#revision) {
 			return;
@@ -44,7 +44,7 @@
 
 		const kinds = new Set<ObjectKind>([...this.#stores.keys(), ...list.objects.map(object => object.kind)]);
 		this.#deleted.clear();
-		// What this node has written since the list was made is newer than the list.
+		// Writes of this node that are newer than the list must be preserved.
 		const newer = [...this.#stores.values()].flatMap(store => [...store.list()].filter(object => object.metadata.resourceVersion > list.resourceVersion));
 		for (const store of this.#stores.values()) {
 			store.clear();
@@ -58,17 +58,17 @@
 		this.#notify(kinds);
 	}
 
-	/** Applies one change seen by the watch. */
+	/** Applies a change reported by the watch. */
 	applyEvent(event: WatchEvent): void {
 		this.#apply(event);
 		this.#revision = Math.max(this.#revision, event.object.metadata.resourceVersion);
 	}
 
 	/**
-	 * Applies the answer of a write or read of this node's own.
+	 * Applies an object that this node has written or read itself.
 	 *
-	 * The revision stays: changes by others between it and this one may still be on
-	 * their way, and a watch that breaks now must go on from before them.
+	 * Does not change the revision: earlier changes by other nodes may not have been received
+	 * yet, and a watch that is resumed must not skip them.
 	 */
 	applyStored(object: PlatformObject): void {
 		this.#apply({type: 'MODIFIED', object});
@@ -85,7 +85,7 @@
 		return [...this.#stores.get(kind)?.list() ?? []].map(object => createEntry<Kind>(object));
 	}
 
-	/** Finds the organisation that owns a key. The key itself is not kept. */
+	/** Finds the organisation that owns an API key. The key itself is not stored. */
 	findKeyOwner(key: string): OrganisationId | undefined {
 		return this.#organisations.findKeyOwner(key);
 	}
--- a/src/node/config/kind-store.ts
+++ b/src/node/config/kind-store.ts
@@ -1,20 +1,20 @@
-/** Stores of the objects of one kind. */
+/** In-memory stores of the objects of one kind. */
 import {Buffer} from 'node:buffer';
 import {hashSecret, matchesHash, type OrganisationId} from '../../common/index.js';
 import type {PlatformObject, SpecOf} from '../../store/index.js';
 
-/** Objects of one kind, by name. */
+/** Store of the objects of one kind by name. */
 export abstract class KindStore {
 	abstract find(name: string): PlatformObject | undefined;
 	abstract list(): Iterable<PlatformObject>;
-	/** Version of an object; undefined where there is none. */
+	/** Version of an object; undefined when it does not exist. */
 	abstract findVersion(name: string): number | undefined;
 	abstract put(object: PlatformObject): void;
 	abstract remove(name: string): void;
 	abstract clear(): void;
 }
 
-/** Keeps objects as they came. */
+/** Stores objects unchanged in a map. */
 export class MapStore extends KindStore {
 	readonly #objects = new Map<string, PlatformObject>();
 
@@ -46,26 +46,26 @@
 type CompactOrganisation = {
 	version: number;
 	partner: string;
-	/** Shared between organisations that may use the same services. */
+	/** One array is shared by all organisations with the same services. */
 	services: string[];
-	/** SHA-256 of the keys, 32 one-byte characters each. */
+	/** SHA-256 of the API keys as Latin-1 strings of 32 characters, which take one byte each. */
 	keys: string[];
 	requestsPerMinute: number | undefined;
 	tokensPerMinute: number | undefined;
 };
 
-/** Characters of a key's hash by which its owner is looked up; the rest is compared in constant time. */
+/** Characters of a key hash that form the index; the full hash is compared in constant time. */
 const indexedPrefixLength = 6;
 
 /**
- * Keeps organisations in little memory, indexed by their keys.
+ * Stores organisations compactly and indexes them by API key.
  *
- * 28,000 of them as plain objects took 15.6 MiB, and a new index at each change
- * 108 ms (docs/CAPACITY.md); so they take 8.4 MiB, and a change costs what it changes.
+ * 28,000 organisations take 8.4 MiB instead of 15.6 MiB as plain objects. The index is updated
+ * incrementally, because rebuilding it took 108 ms for each change (docs/CAPACITY.md).
  */
 export class OrganisationStore extends KindStore {
 	readonly #organisations = new Map<string, CompactOrganisation>();
-	/** Names of the owners of keys whose hashes begin alike. */
+	/** Names of the organisations that own keys with a hash prefix. */
 	readonly #owners = new Map<string, string | string[]>();
 	readonly #services = new Map<string, string[]>();
 	readonly #partners = new Map<string, string>();
@@ -116,7 +116,7 @@
 		this.#owners.clear();
 	}
 
-	/** Finds the organisation that owns a key. The key itself is not kept. */
+	/** Finds the organisation that owns an API key. The key itself is not stored. */
 	findKeyOwner(key: string): OrganisationId | undefined {
 		const prefix = Buffer.from(hashSecret(key).slice(0, indexedPrefixLength * 2), 'hex').toString('latin1');
 		const candidates = [this.#owners.get(prefix) ?? []].flat();
@@ -153,7 +153,7 @@
 	};
 }
 
-/** Returns the value first kept under a key, so that equal values are held once. */
+/** Returns the value already pooled under a key, or adds it, so that equal values share memory. */
 function intern<Value>(pool: Map<string, Value>, key: string, value: Value): Value {
 	const first = pool.get(key) ?? value;
 	pool.set(key, first);
--- a/test/change-configuration.test.ts
+++ b/test/change-configuration.test.ts
@@ -33,7 +33,7 @@
 	return fleet.nodes.every(node => node.view.findKeyOwner(key) !== undefined);
 }
 
-test('a change is in force on every node within a second', async () => {
+test('a configuration change is applied on every node within a second', async () => {
 	const start = fleet.clock.readMonotonic();
 	putKey('sk-new');
 	await fleet.until(() => isKeyKnownEverywhere('sk-new'));
@@ -42,7 +42,7 @@
 	expect(await listStatuses(standinFleet.key)).toEqual([401, 401, 401]);
 });
 
-test('changes made while nodes could not see the platform are in force within 7 s of its return', async () => {
+test('changes made during a platform outage are applied within 7 s of its recovery', async () => {
 	fleet.platform.faults = {down: true};
 	fleet.platform.cutWatches();
 	await fleet.pass(60_000, 50);
@@ -55,7 +55,7 @@
 	expect(fleet.nodes.map(node => node.view.findKeyOwner('sk-first'))).toEqual([undefined, undefined, undefined]);
 }, 30_000);
 
-test('a policy that refuses is in force at the dispatcher, whichever node is asked', async () => {
+test('the dispatcher applies a refusing policy to requests from every node', async () => {
 	fleet.platform.putObject({
 		kind: 'Policy', metadata: {name: 'meteotessera'}, spec: {partner: 'meteotessera', programs: {admit: 'request.promptTokens < 1.0'}},
 	});
@@ -64,7 +64,7 @@
 	expect(answers.map(answer => readError(answer).code)).toEqual(['policy_refused', 'policy_refused', 'policy_refused']);
 });
 
-test('an organisation over its rate is told when to come back', async () => {
+test('an organisation over its rate limit gets a retry delay', async () => {
 	fleet.platform.putObject({
 		kind: 'Organisation',
 		metadata: {name: standinFleet.organisation},
--- a/test/follow-configuration.test.ts
+++ b/test/follow-configuration.test.ts
@@ -30,7 +30,7 @@
 	}, version);
 }
 
-test('a replayed or older event changes nothing, and the revision never falls', () => {
+test('a repeated or outdated event is ignored, and the revision never decreases', () => {
 	const view = new FleetView();
 	view.applyEvent(createModifiedEvent(createOrganisation('o', ['new'], 5)));
 	view.applyEvent(createModifiedEvent(createOrganisation('o', ['old'], 3)));
@@ -39,14 +39,14 @@
 	expect([view.findKeyOwner('new'), view.findKeyOwner('old'), view.findKeyOwner('p')]).toEqual(['o', undefined, 'p']);
 });
 
-test('an older list changes nothing', () => {
+test('an outdated list is ignored', () => {
 	const view = new FleetView();
 	view.applyList({objects: [createOrganisation('o', ['new'], 8)], resourceVersion: 8});
 	view.applyList({objects: [createOrganisation('o', ['old'], 3)], resourceVersion: 7});
 	expect([view.revision, view.findKeyOwner('new'), view.findKeyOwner('old')]).toEqual([8, 'o', undefined]);
 });
 
-test('a late event does not bring a deleted object back', () => {
+test('a delayed event does not restore a deleted object', () => {
 	const view = new FleetView();
 	view.applyEvent(createModifiedEvent(createOrganisation('o', ['key'], 5)));
 	view.applyEvent({type: 'DELETED', object: createOrganisation('o', ['key'], 9)});
@@ -56,14 +56,14 @@
 	expect(view.findKeyOwner('key')).toBe('o');
 });
 
-test('a newer list drops what is no longer in it', () => {
+test('a newer list removes objects that it does not contain', () => {
 	const view = new FleetView();
 	view.applyEvent(createModifiedEvent(createOrganisation('o', ['o'], 5)));
 	view.applyList({objects: [createOrganisation('p', ['p'], 6)], resourceVersion: 9});
 	expect([view.findKeyOwner('o'), view.findKeyOwner('p')]).toEqual([undefined, 'p']);
 });
 
-test('a changed key is in force with its change', () => {
+test('changed keys and services apply immediately', () => {
 	const view = new FleetView();
 	view.applyEvent(createModifiedEvent(createOrganisation('o', ['one', 'two'], 5, ['s'])));
 	view.applyEvent(createModifiedEvent(createOrganisation('o', ['two', 'three'], 6, ['s', 't'])));
@@ -71,7 +71,7 @@
 	expect(view.find('Organisation', 'o')).toMatchObject({services: ['s', 't'], version: 6});
 });
 
-test('a partner\'s policy comes into force with its change, and an unusable one leaves the defaults', () => {
+test('a changed policy applies immediately, and an invalid one is replaced by the defaults', () => {
 	const view = new FleetView();
 	const directory = new ViewDirectory(view, createSilentLogger());
 	const context = {
@@ -95,7 +95,7 @@
 	expect(directory.findPolicy('harvest' as PartnerId).evaluateWeight(context)).toBe(1);
 });
 
-test('shares are equal until agreed, and a partner left out has the least', () => {
+test('shares are equal without an agreement, and a partner missing from it gets the smallest share', () => {
 	const view = new FleetView();
 	const directory = new ViewDirectory(view, createSilentLogger());
 	const findShare = (partner: string) => directory.findShare('s@r' as PoolId, partner as PartnerId);
@@ -105,7 +105,7 @@
 	expect(directory.findOrganisation('nobody' as OrganisationId).partner).toBe('unknown');
 });
 
-test('every source that says a node is gone takes it out', () => {
+test('a node is not ready when any source reports it as gone', () => {
 	const view = new FleetView();
 	const members = new Members(view);
 	for (const [index, box] of ['a', 'b', 'c', 'd', 'e'].entries()) {
@@ -126,18 +126,18 @@
 	expect([members.isDropped('a.life' as Incarnation), members.isDropped('c.life' as Incarnation), members.isDropped('a.earlier' as Incarnation)]).toEqual([false, true, true]);
 });
 
-test('a write of the node\'s own does not let it skip the changes of others before it', () => {
+test('a write of the node itself does not skip earlier changes by others', () => {
 	const view = new FleetView();
 	view.applyList({objects: [], resourceVersion: 10});
 	view.applyStored(createNode('a', 'ready', 13));
 	expect([view.revision, view.list('Node').length]).toEqual([10, 1]);
-	// The watch breaks here and goes on from the revision: the changes of others come after all.
+	// The watch fails here and resumes from the revision, so the earlier changes by others still arrive.
 	view.applyEvent(createModifiedEvent(createOrganisation('o', ['key'], 11)));
 	view.applyEvent(createModifiedEvent(createNode('a', 'leaving', 9)));
 	expect([view.revision, view.findKeyOwner('key'), view.find('Node', 'a')?.state]).toEqual([11, 'o', 'ready']);
 });
 
-test('a list made before a write of the node\'s own does not undo it', () => {
+test('a list older than a write of the node itself does not revert it', () => {
 	const view = new FleetView();
 	view.applyStored(createNode('a', 'leaving', 13));
 	view.applyList({objects: [createNode('a', 'ready', 4), createOrganisation('o', ['key'], 5)], resourceVersion: 12});
