--- a/src/node/callers-controller.ts
+++ b/src/node/callers-controller.ts
@@ -1,4 +1,4 @@
-/** The HTTP interface for callers. */
+/** HTTP API for callers. */
 import {Buffer} from 'node:buffer';
 import {
 	All, Controller, Get, Inject, Post, Query, Req, Res,
@@ -10,16 +10,16 @@
 } from './entry/index.js';
 import type {AddressAnswer} from './entry/addresses.js';
 
-/** Injection token of what the controller serves from. */
+/** Injection token of the controller context. */
 export const callersToken = Symbol('callers');
 
-/** What the controller serves from. */
+/** Dependencies of the controller. */
 export type CallersContext = {
 	entry: Entry;
 	availabilityZone: AvailabilityZone;
 };
 
-/** Routes callers' requests into the entry. */
+/** Forwards requests of callers to the entry. */
 @Controller()
 export class CallersController {
 	readonly #context: CallersContext;
@@ -28,13 +28,13 @@
 		this.#context = context;
 	}
 
-	/** The entry addresses to use, those of the asked-for availability zone first. */
+	/** Lists the caller addresses of the nodes, those in the requested availability zone first. */
 	@Get('v1/addresses')
 	listAddresses(@Query('availabilityZone') zone: string | undefined): AddressAnswer {
 		return this.#context.entry.listAddresses((zone ?? this.#context.availabilityZone) as AvailabilityZone);
 	}
 
-	/** The models that the key's owner may use, in OpenAI's shape. */
+	/** Lists the models available to the owner of the API key, in the format of OpenAI. */
 	@Get('v1/models')
 	async listModels(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
 		const models = this.#context.entry.listModels(request.headers);
@@ -62,7 +62,7 @@
 		await this.#context.entry.serveCompletion(readRawRequest(request), 'text', hijackReply(reply));
 	}
 
-	/** Everything else is a call on a plain service. */
+	/** Handles every other path as a call to a plain service. */
 	@All('*')
 	async callPlain(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
 		await this.#context.entry.servePlain(readRawRequest(request), hijackReply(reply));
@@ -76,7 +76,7 @@
 	};
 }
 
-/** From here on the answer is written to the connection itself, so that it can be streamed and held back. */
+/** Takes over the raw response from Fastify, so that it can be buffered and streamed. */
 function hijackReply(reply: FastifyReply): HttpAnswerSink {
 	void reply.hijack();
 	return new HttpAnswerSink(reply.raw);
--- a/src/node/listeners.ts
+++ b/src/node/listeners.ts
@@ -1,4 +1,4 @@
-/** The three listeners of a node: callers, operators, other nodes. None answers on another's port. */
+/** HTTP listeners of a node for callers, operators and other nodes, each on its own port. */
 import {Buffer} from 'node:buffer';
 import type {Socket} from 'node:net';
 import 'reflect-metadata'; // eslint-disable-line import-x/no-unassigned-import
@@ -16,48 +16,48 @@
 import {formatErrorHead} from './entry/index.js';
 import {OperatorsController, operatorsToken, type OperatorsContext} from './operators-controller.js';
 
-/** A listener that has been opened. */
+/** Open HTTP listener. */
 export type Listener = {
 	/** Base URL. */
 	url: string;
-	/** Closes the listener and every connection; call when no answer is in progress. */
+	/** Closes the listener and all connections; call it when no response is in progress. */
 	close(): Promise<void>;
 };
 
 const bytesPerMebibyte = 1_048_576;
 
-/** Largest message between nodes: a passed-on body in base64, and outcomes in an inheritance. */
+/** Maximum size of a message between nodes in bytes: a forwarded body in base64, or transferred outcomes. */
 const rpcBodyLimit = 160 * bytesPerMebibyte;
 
-/** Milliseconds for which an idle connection is kept. */
+/** Milliseconds for which an idle connection is kept open. */
 const idleConnectionTimeout = 75_000;
 
 @Module({})
 class ListenerModule {}
 
-/** Opens the callers' listener. */
+/** Opens the listener for callers. */
 export async function openCallersListener(settings: ListenerSettings, bodyLimit: number, context: CallersContext): Promise<Listener> {
 	const app = await createApp(CallersController, {provide: callersToken, useValue: context}, bodyLimit);
 	return listen(app, settings);
 }
 
-/** Opens the operators' listener. */
+/** Opens the listener for operators. */
 export async function openOperatorsListener(settings: ListenerSettings, context: OperatorsContext): Promise<Listener> {
 	const app = await createApp(OperatorsController, {provide: operatorsToken, useValue: context}, bytesPerMebibyte);
 	return listen(app, settings);
 }
 
-/** Opens the listener for other nodes. A message without the secret is refused and counted. */
+/** Opens the listener for other nodes. Rejects and counts messages without the shared secret. */
 export async function openNodesListener(settings: ListenerSettings, secret: string, parts: {service: NodeService; onRefused: () => void}): Promise<Listener> {
 	const adapter = createAdapter(rpcBodyLimit);
 	const secretHash = hashSecret(secret);
 	const instance = adapter.getInstance();
 	instance.addHook('onRequest', async (request: FastifyRequest, reply: FastifyReply) => {
-		// Messages between nodes are many and small: headers that say nothing new are left out.
+		// Messages between nodes are frequent and small, so the redundant Date header is omitted.
 		reply.raw.sendDate = false;
 		if (!matchesHash(readBearerToken(request.headers.authorization), secretHash)) {
 			parts.onRefused();
-			await reply.code(401).send({error: 'the secret of the nodes is missing or wrong'});
+			await reply.code(401).send({error: 'the node secret is missing or invalid'});
 		}
 	});
 	await instance.register(fastifyTRPCPlugin, {
@@ -72,7 +72,7 @@
 	return new ListenerAdapter(bodyLimit);
 }
 
-/** Fastify's adapter, with errors found before a request reaches its handler answered in the shape of every other error. */
+/** Fastify adapter that formats errors raised before a handler runs like all other errors. */
 class ListenerAdapter extends FastifyAdapter {
 	readonly #bodyLimit: number;
 
@@ -108,7 +108,7 @@
 	await reply.code(head.status).headers(head.headers).send(JSON.stringify(formatErrorBody(failure)));
 }
 
-/** Answers a head that the parser refuses, in the shape of every other error; nothing of it has been read as a request. */
+/** Responds to a request head that the HTTP parser rejects, with the error format of all other responses. */
 function rejectMalformedRequest(error: Error & {code?: string}, socket: Socket): void {
 	if (!socket.writable) {
 		socket.destroy();
--- a/src/node/operators-controller.ts
+++ b/src/node/operators-controller.ts
@@ -1,4 +1,4 @@
-/** The HTTP interface for operators. */
+/** HTTP API for operators. */
 import {
 	Controller, Get, Inject, Req, Res,
 } from '@nestjs/common';
@@ -6,10 +6,10 @@
 import {matchesHash, readBearerToken} from '../common/index.js';
 import type {OperatorSettings} from '../settings/index.js';
 
-/** Injection token of what the controller serves from. */
+/** Injection token of the controller context. */
 export const operatorsToken = Symbol('operators');
 
-/** One pool decided on a node. */
+/** Status of a pool for which the node is the dispatcher. */
 export type PoolStatus = {
 	pool: string;
 	term: number;
@@ -17,30 +17,30 @@
 	waiting: number;
 };
 
-/** The state of one node. */
+/** Status of a node. */
 export type NodeStatus = {
 	box: string;
 	incarnation: string;
 	phase: string;
-	/** Version of the configuration in force. */
+	/** Version of the configuration that the node applies. */
 	revision: number;
 	isPlatformReachable: boolean;
 	requestsInProgress: number;
 	readyNodes: string[];
 	pools: PoolStatus[];
-	/** Bytes exchanged with other nodes by this node's calls. */
+	/** Bytes sent and received by calls of this node to other nodes. */
 	controlBytes: number;
-	/** Messages of nodes that came without the secret. */
+	/** Number of node-to-node messages rejected because of a missing or invalid secret. */
 	refusedNodeMessages: number;
 };
 
-/** What the controller serves from. */
+/** Dependencies of the controller. */
 export type OperatorsContext = {
 	teams: OperatorSettings[];
 	readStatus: () => NodeStatus;
 };
 
-/** Answers operators who show a partner's token. */
+/** Serves operators who authenticate with the token of a partner. */
 @Controller()
 export class OperatorsController {
 	readonly #context: OperatorsContext;
@@ -49,7 +49,7 @@
 		this.#context = context;
 	}
 
-	/** How the node stands. */
+	/** Returns the status of the node. */
 	@Get('v1/status')
 	async readStatus(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
 		const token = readBearerToken(request.headers.authorization);
--- a/src/node/status-reporter.ts
+++ b/src/node/status-reporter.ts
@@ -1,12 +1,13 @@
-/** Sends a node's gauges to the metrics collector at a steady pace. */
+/** Periodically sends the status of a node to the metrics collector. */
 import {
 	Child, waitFor, type Clock, type Metrics,
 } from '../common/index.js';
 import type {NodeStatus} from './operators-controller.js';
 
+/** Milliseconds between two reports. */
 const reportInterval = 10_000;
 
-/** Reports what `readStatus` says. Holds no state of its own. */
+/** Reports the result of `readStatus` as gauges. */
 export class StatusReporter extends Child {
 	override readonly name = 'status-reporter';
 	readonly #clock: Clock;
--- a/test/stop-and-crash.test.ts
+++ b/test/stop-and-crash.test.ts
@@ -18,7 +18,7 @@
 	await fleet.stop();
 });
 
-test('a planned stop under load cuts off nothing, at any node', async () => {
+test('a graceful stop under load interrupts no response', async () => {
 	const running = Array.from({length: 12}, async (_, index) => chat(fleet.nodes[index % 3].callerUrl, {stream: true, max_tokens: 100 + (index * 10)}));
 	await fleet.until(() => fleet.countHeld() > 0);
 	const stopping = fleet.nodes[fleet.findDispatcherNode()].stop();
@@ -28,7 +28,7 @@
 	expect(fleet.nodes.filter(node => node.phase === 'stopped')).toHaveLength(1);
 });
 
-test('a caller who comes with an address still valid is served by a leaving node', async () => {
+test('a stopping node serves callers whose address is still valid', async () => {
 	const leaving = fleet.nodes[0];
 	const stopping = leaving.stop();
 	await fleet.pass(29_000, 50);
@@ -37,7 +37,7 @@
 	await fleet.settle(stopping);
 });
 
-test('a leaving node is out of the address answers of every node within a second', async () => {
+test('all nodes remove a stopping node from their address lists within a second', async () => {
 	const stopping = fleet.nodes[0].stop();
 	await fleet.pass(500);
 	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => call(`${node.callerUrl}/v1/addresses`, {method: 'GET'}))));
@@ -45,7 +45,7 @@
 	await fleet.settle(stopping);
 });
 
-test('a leaving node is left out also when the platform is down', async () => {
+test('a stopping node is removed from address lists while the platform is down', async () => {
 	fleet.platform.faults = {down: true};
 	fleet.platform.cutWatches();
 	const stopping = fleet.nodes[0].stop();
@@ -55,7 +55,7 @@
 	await fleet.settle(stopping);
 });
 
-test('a slow reader gets the whole answer of a node that stops', async () => {
+test('a slow reader gets the complete response of a stopping node', async () => {
 	const stopping = fleet.nodes[0].stop();
 	await fleet.pass(20_000, 50);
 	const response = await fleet.settle(request(`${fleet.nodes[0].callerUrl}/v1/chat/completions`, {
@@ -74,7 +74,7 @@
 	await fleet.settle(stopping);
 }, 60_000);
 
-test('grants go on within 200 ms of a planned hand-over', async () => {
+test('grants resume within 200 ms of a planned handover', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const other = fleet.nodes[(dispatcher + 1) % 3];
 	void fleet.nodes[dispatcher].stop();
@@ -84,7 +84,7 @@
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(200);
 });
 
-test('a second signal ends answers at once with an error event', async () => {
+test('an immediate stop after a graceful one ends responses with an error event', async () => {
 	const running = chat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 5000});
 	await fleet.until(() => fleet.countHeld() > 0);
 	await fleet.pass(200);
@@ -94,7 +94,7 @@
 	expect(listStream(answer.text).at(-1)?.error).toMatchObject({code: 'node_stopped', ran: 'partly'});
 });
 
-test('after a node is killed in mid-stream its engines\' memory comes back within 10 s', async () => {
+test('engine memory is freed within 10 s when a node is killed during a stream', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const entry = fleet.nodes[(dispatcher + 1) % 3];
 	const running = chat(entry.callerUrl, {stream: true, max_tokens: 100_000});
@@ -110,7 +110,7 @@
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(10_000);
 });
 
-test('when dispatcher and entry are one and are killed, the next dispatcher takes the memory back', async () => {
+test('the next dispatcher frees engine memory when the node that is both dispatcher and entry is killed', async () => {
 	const node = fleet.nodes[fleet.findDispatcherNode()];
 	const running = chat(node.callerUrl, {stream: true, max_tokens: 100_000});
 	await fleet.until(() => fleet.countHeld() > 0);
@@ -121,7 +121,7 @@
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(10_000);
 });
 
-test('grants go on within 3 s of the death of a dispatcher, and streams of other nodes are not touched', async () => {
+test('grants resume within 3 s of a dispatcher crash, and streams of other nodes continue', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const other = fleet.nodes[(dispatcher + 1) % 3];
 	const running = chat(other.callerUrl, {stream: true, max_tokens: 400});
@@ -134,7 +134,7 @@
 	expect(joinStream((await fleet.settle(running)).text)).toBe(countWords(400)); // eslint-disable-line unicorn/no-await-expression-member
 });
 
-test('a new dispatcher counts the grants that other nodes hold', async () => {
+test('a new dispatcher counts existing grants of other nodes', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const other = fleet.nodes[(dispatcher + 1) % 3];
 	const running = [1, 2].map(async () => chat(other.callerUrl, {stream: true, max_tokens: 150_000}, {'x-time-bound-ms': '8000'}));
@@ -146,7 +146,7 @@
 	await fleet.settle(Promise.all(running));
 });
 
-test('serving goes on while the platform is down', async () => {
+test('requests are served while the platform is down', async () => {
 	fleet.platform.faults = {down: true};
 	fleet.platform.cutWatches();
 	await fleet.pass(60_000, 50);
@@ -157,7 +157,7 @@
 	await fleet.until(() => fleet.nodes.every(node => node.readStatus().isPlatformReachable));
 }, 30_000);
 
-test('a node that starts while the platform is down waits and says so', async () => {
+test('a node that starts while the platform is down refuses requests until it is ready', async () => {
 	fleet.platform.faults = {down: true};
 	const node = await fleet.addNode();
 	await fleet.pass(2000);
@@ -168,7 +168,7 @@
 	await fleet.until(() => node.phase === 'ready');
 });
 
-test('a takeover whose reply is lost is found out by reading', async () => {
+test('a takeover succeeds when the response to its write is lost', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	fleet.platform.faults = {loseReplies: 1};
 	await fleet.killNode(fleet.nodes[dispatcher]);
@@ -176,7 +176,7 @@
 	expect(answer.status).toBe(200);
 });
 
-test('a backend server that leaves gets no new work while its work in flight ends', async () => {
+test('a leaving backend server completes its requests and gets no new ones', async () => {
 	const running = chat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 300});
 	await fleet.until(() => fleet.countHeld() > 0);
 	const leaving = fleet.engines.findIndex(engine => engine.heldTokens > 0);
@@ -189,7 +189,7 @@
 	expect(joinStream(answer.text)).toBe(countWords(300));
 });
 
-test('when the dispatcher dies while the platform is down, the next node stands in and yields when a term can be written', async () => {
+test('when the dispatcher crashes while the platform is down, another node dispatches provisionally until a term can be written', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const others = fleet.nodes.filter((_, index) => index !== dispatcher);
 	const running = chat(others[0].callerUrl, {stream: true, max_tokens: 600});
@@ -214,7 +214,7 @@
 	await fleet.until(() => fleet.countHeld() === 0 && others.every(node => node.readStatus().pools.every(pool => pool.grants === 0)));
 }, 30_000);
 
-test('requests that were asking a paused dispatcher are served by the next one', async () => {
+test('requests waiting for a paused dispatcher are served by the next one', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const others = fleet.nodes.filter((_, index) => index !== dispatcher);
 	const box = `box-${dispatcher + 1}`;
