--- a/src/common/ids.ts
+++ b/src/common/ids.ts
@@ -15,7 +15,7 @@
 export type PoolId = Branded<'PoolId'>;
 /** Name under which a backend server registers; a restarted server may reuse it. */
 export type BackendServerName = Branded<'BackendServerName'>;
-/** One run of a backend server, unique in the system: its name and, if reported, its start time. */
+/** One run of a backend server, unique in the system: its name and, if reported, an identifier of its start. */
 export type BackendServerId = Branded<'BackendServerId'>;
 /** Name of the box (machine) on which a node runs. */
 export type BoxId = Branded<'BoxId'>;
