--- a/src/common/read-text.ts
+++ b/src/common/read-text.ts
@@ -1,13 +1,13 @@
-/** Reads a body while whoever waits is told that it comes. */
+/** Reading of streamed response bodies with progress callbacks. */
 import {Buffer} from 'node:buffer';
 
-/** Reads a body to its end as text; `hear` is called with each part. */
-export async function readText(body: AsyncIterable<Uint8Array>, hear: () => void): Promise<string> {
-	const parts: Uint8Array[] = [];
-	for await (const part of body) {
-		hear();
-		parts.push(part);
+/** Reads a whole body as UTF-8 text and calls `onChunk` for each chunk received. */
+export async function readText(body: AsyncIterable<Uint8Array>, onChunk: () => void): Promise<string> {
+	const chunks: Uint8Array[] = [];
+	for await (const chunk of body) {
+		onChunk();
+		chunks.push(chunk);
 	}
 
-	return Buffer.concat(parts).toString('utf8');
+	return Buffer.concat(chunks).toString('utf8');
 }
--- a/src/common/rendezvous.ts
+++ b/src/common/rendezvous.ts
@@ -1,32 +1,32 @@
-/** Rendezvous hashing: every process that knows the same members orders them alike for a key. */
+/** Rendezvous hashing: processes with the same member list compute the same order for a key. */
 import {createHash} from 'node:crypto';
 
-/** Scores kept: those of a few keys for a thousand members; a node orders the fleet anew for each request. */
-const mostScores = 8192;
+/** Cached scores, enough for several keys and a thousand members; avoids hashing every member for each request. */
+const maxCachedScores = 8192;
 
-const scores = new Map<string, string>();
+const scoreCache = new Map<string, string>();
 
 function computeScore(key: string, member: string): string {
 	const text = `${key}\n${member}`;
-	let score = scores.get(text);
+	let score = scoreCache.get(text);
 	if (score === undefined) {
 		score = createHash('sha256').update(text).digest('hex');
-		if (scores.size >= mostScores) {
-			scores.clear();
+		if (scoreCache.size >= maxCachedScores) {
+			scoreCache.clear();
 		}
 
-		scores.set(text, score);
+		scoreCache.set(text, score);
 	}
 
 	return score;
 }
 
-/** The first choice among members for a key, without ordering the others; undefined when there are none. */
-export function findRendezvous<Member>(key: string, members: Iterable<Member>, nameOf: (member: Member) => string): Member | undefined {
+/** Finds the preferred member for a key without sorting; undefined when there are no members. */
+export function findFirstByRendezvous<Member>(key: string, members: Iterable<Member>, getName: (member: Member) => string): Member | undefined {
 	let first: Member | undefined;
 	let highest = '';
 	for (const member of members) {
-		const score = computeScore(key, nameOf(member));
+		const score = computeScore(key, getName(member));
 		if (score > highest) {
 			first = member;
 			highest = score;
@@ -36,9 +36,9 @@
 	return first;
 }
 
-/** Orders members for a key, the first choice first. */
-export function orderByRendezvous<Member>(key: string, members: Iterable<Member>, nameOf: (member: Member) => string): Member[] {
-	const scored = [...members].map(member => ({member, score: computeScore(key, nameOf(member))}));
+/** Sorts members by preference for a key, preferred member first. */
+export function orderByRendezvous<Member>(key: string, members: Iterable<Member>, getName: (member: Member) => string): Member[] {
+	const scored = [...members].map(member => ({member, score: computeScore(key, getName(member))}));
 	scored.sort((left, right) => left.score < right.score ? 1 : -1);
 	return scored.map(entry => entry.member);
 }
--- a/src/common/virtual-clock.ts
+++ b/src/common/virtual-clock.ts
@@ -1,22 +1,22 @@
-/** A clock that stands still until it is moved: for replays and tests. */
+/** Manually advanced clock for replays and tests. */
 import TinyQueue from 'tinyqueue';
 import type {Clock, Timer} from './clock.js';
 
 type PendingTimer = {
-	at: number;
-	order: number;
+	dueAt: number;
+	sequence: number;
 	callback: () => void;
 	isCancelled: boolean;
 };
 
-/** Unix time at which virtual clocks begin, in milliseconds. */
+/** Unix time at which virtual clocks start, in milliseconds. */
 const epoch = Date.UTC(2026, 0, 1);
 
-/** Time that moves only when told. Timers due at the same time fire in the order they were set. */
+/** Clock that changes only by `advance` and `fireNext`. Timers due at the same time fire in the order in which they were set. */
 export class VirtualClock implements Clock {
 	#elapsed = 0;
-	#order = 0;
-	readonly #timers = new TinyQueue<PendingTimer>([], (left, right) => left.at - right.at || left.order - right.order);
+	#nextSequence = 0;
+	readonly #timers = new TinyQueue<PendingTimer>([], (left, right) => left.dueAt - right.dueAt || left.sequence - right.sequence);
 
 	now(): Date {
 		return new Date(epoch + this.#elapsed);
@@ -28,7 +28,7 @@
 
 	setTimer(delay: number, callback: () => void): Timer {
 		const timer = {
-			at: this.#elapsed + Math.max(0, delay), order: this.#order++, callback, isCancelled: false,
+			dueAt: this.#elapsed + Math.max(0, delay), sequence: this.#nextSequence++, callback, isCancelled: false,
 		};
 		this.#timers.push(timer);
 		return {
@@ -38,17 +38,17 @@
 		};
 	}
 
-	/** Moves time forward by milliseconds and fires every timer that falls due on the way. */
+	/** Advances the clock by a number of milliseconds and fires every timer that becomes due. */
 	advance(milliseconds: number): void {
 		const end = this.#elapsed + milliseconds;
-		while (this.#findNext() !== undefined && this.#findNext()!.at <= end) {
+		while (this.#findNext() !== undefined && this.#findNext()!.dueAt <= end) {
 			this.fireNext();
 		}
 
 		this.#elapsed = end;
 	}
 
-	/** Moves time to the next timer and fires it; false when none is left. */
+	/** Advances the clock to the next timer and fires it; returns false when no timer is pending. */
 	fireNext(): boolean {
 		const timer = this.#findNext();
 		if (timer === undefined) {
@@ -56,7 +56,7 @@
 		}
 
 		this.#timers.pop();
-		this.#elapsed = Math.max(this.#elapsed, timer.at);
+		this.#elapsed = Math.max(this.#elapsed, timer.dueAt);
 		timer.callback();
 		return true;
 	}
--- a/src/gateway/scheduling/select-scheduler.ts
+++ b/src/gateway/scheduling/select-scheduler.ts
@@ -1,5 +1,5 @@
 /** Selects the scheduling node of a service by rendezvous hashing. Pure. */
-import {findRendezvous, type ServiceName} from '../../common/index.js';
+import {findFirstByRendezvous, type ServiceName} from '../../common/index.js';
 import type {Peer} from '../peers/heartbeat.js';
 
 /** Minimum share of the cores of the largest node that a scheduling node has: it handles every request of the fleet. */
@@ -9,5 +9,5 @@
 export function selectScheduler(service: ServiceName, nodes: Peer[]): Peer | undefined {
 	const maxCores = Math.max(...nodes.map(node => node.cores));
 	const large = nodes.filter(node => node.cores >= maxCores * largeNodeShare);
-	return findRendezvous(service, large, node => node.name);
+	return findFirstByRendezvous(service, large, node => node.name);
 }
--- a/src/rpc/node-clients.ts
+++ b/src/rpc/node-clients.ts
@@ -1,4 +1,4 @@
-/** Clients of other nodes: one connection pool, the shared secret on each message, bytes counted. */
+/** RPC clients of other nodes with a shared connection pool, authentication and traffic accounting. */
 import type {Socket} from 'node:net';
 import {
 	createTRPCClient, httpBatchStreamLink, httpLink, splitLink, type TRPCClient,
@@ -6,16 +6,16 @@
 import {Agent, buildConnector} from 'undici';
 import type {Clock} from '../common/index.js';
 import {
-	askWithin, rpcPath, sendNodeRequest, type NodeRequest, type NodeResponse,
+	askWithTimeout, rpcPath, sendNodeRequest, type NodeRequest, type NodeResponse,
 } from './node-fetch.js';
 import type {NodeRouter} from './router.js';
 
-/** A client of one node. */
+/** RPC client of one node. */
 export type NodeClient = TRPCClient<NodeRouter>;
 
-/** Keeps a client for each node asked. */
+/** Caches one client for each node URL. */
 export class NodeClients {
-	/** The clock by which calls time out. */
+	/** Clock for call timeouts. */
 	readonly clock: Clock;
 	readonly #secret: string;
 	readonly #counter = new ByteCounter();
@@ -42,25 +42,25 @@
 		});
 	}
 
-	/** Bytes sent to and received from other nodes by calls of this node. */
+	/** Bytes sent and received by calls of this node to other nodes. */
 	countBytes(): number {
 		return this.#counter.count();
 	}
 
-	/** The client of the node at a URL. */
+	/** Returns the client of the node at a URL. */
 	findClient(url: string): NodeClient {
 		let client = this.#clients.get(url);
 		if (client === undefined) {
-			client = this.#create(url);
+			client = this.#createClient(url);
 			this.#clients.set(url, client);
 		}
 
 		return client;
 	}
 
-	/** Calls a node and gives up after a time in milliseconds; undefined when there was no answer. */
+	/** Calls a node with a timeout in milliseconds; returns undefined when the call fails or times out. */
 	async ask<Answer>(url: string, timeout: number, call: (client: NodeClient, signal: AbortSignal) => Promise<Answer>): Promise<Answer | undefined> {
-		return askWithin(this.clock, timeout, async signal => call(this.findClient(url), signal));
+		return askWithTimeout(this.clock, timeout, async signal => call(this.findClient(url), signal));
 	}
 
 	/** Closes all connections. */
@@ -68,12 +68,12 @@
 		await this.#agent.destroy();
 	}
 
-	/** Sends one HTTP request; tests put a faulty network in its place. */
+	/** Sends one HTTP request; tests override it to simulate network faults. */
 	protected async send(target: string, init: NodeRequest): Promise<NodeResponse> {
 		return sendNodeRequest(this.#agent, target, init);
 	}
 
-	#create(url: string): NodeClient {
+	#createClient(url: string): NodeClient {
 		const options = {
 			url: `${url}${rpcPath}`,
 			headers: {authorization: `Bearer ${this.#secret}`},
@@ -89,29 +89,29 @@
 	}
 }
 
-/** Adds up what sockets have carried. */
+/** Counts the bytes sent and received by open and closed sockets. */
 class ByteCounter {
-	readonly #open = new Set<Socket>();
-	#closed = 0;
+	readonly #openSockets = new Set<Socket>();
+	#closedBytes = 0;
 
 	addSocket(socket: Socket): void {
-		this.#open.add(socket);
+		this.#openSockets.add(socket);
 		socket.once('close', () => {
-			this.#open.delete(socket);
-			this.#closed += countSocket(socket);
+			this.#openSockets.delete(socket);
+			this.#closedBytes += countSocketBytes(socket);
 		});
 	}
 
 	count(): number {
-		let total = this.#closed;
-		for (const socket of this.#open) {
-			total += countSocket(socket);
+		let total = this.#closedBytes;
+		for (const socket of this.#openSockets) {
+			total += countSocketBytes(socket);
 		}
 
 		return total;
 	}
 }
 
-function countSocket(socket: Socket): number {
+function countSocketBytes(socket: Socket): number {
 	return socket.bytesRead + socket.bytesWritten;
 }
--- a/src/rpc/router.ts
+++ b/src/rpc/router.ts
@@ -1,14 +1,14 @@
-/** The tRPC router that nodes answer each other with. */
+/** RPC router for calls between nodes, built with tRPC. */
 import {initTRPC} from '@trpc/server';
 import type {NodeService} from './node-service.js';
 import {
-	admitSchema, heartbeatSchema, incarnationSchema, inheritanceSchema, keyedRequestSchema, poolSchema, urlSchema,
+	admitSchema, heartbeatSchema, incarnationSchema, outcomeTransferSchema, keyedRequestSchema, poolSchema, urlSchema,
 } from './messages.js';
 
 const trpc = initTRPC.context<{service: NodeService}>().create();
 const {procedure} = trpc;
 
-/** All calls between nodes. */
+/** Procedures that other nodes can call. */
 export const nodeRouter = trpc.router({
 	ping: procedure.query(({ctx}) => ctx.service.ping()),
 	probe: procedure.input(urlSchema).query(async ({ctx, input}) => ({isReachable: await ctx.service.probe(input.url)})),
@@ -20,7 +20,7 @@
 	runKeyed: procedure.input(keyedRequestSchema).mutation(async function * ({ctx, input, signal}) {
 		yield * ctx.service.runKeyed(input, signal ?? new AbortController().signal);
 	}),
-	inherit: procedure.input(inheritanceSchema).mutation(({ctx, input}) => {
+	inherit: procedure.input(outcomeTransferSchema).mutation(({ctx, input}) => {
 		ctx.service.inherit(input);
 	}),
 	noteLeaving: procedure.input(incarnationSchema).mutation(({ctx, input}) => {
@@ -28,5 +28,5 @@
 	}),
 });
 
-/** Type of the router, for clients. */
+/** Router type for typed clients. */
 export type NodeRouter = typeof nodeRouter;
--- a/src/store/http-platform.ts
+++ b/src/store/http-platform.ts
@@ -1,4 +1,4 @@
-/** Client of the platform's object API over HTTP. */
+/** HTTP client of the object API of the platform. */
 import {Left, Right, type Either} from 'purify-ts';
 import {Agent, request, type Dispatcher} from 'undici';
 import {type Clock, createTimeout, readErrorMessage} from '../common/index.js';
@@ -10,13 +10,13 @@
 } from './platform.js';
 
 const basePath = '/apis/cresshook.dev/v1/objects';
-const callTimeout = 5000;
+const requestTimeout = 5000;
 const pageSize = 500;
 
-/** Milliseconds without an event or bookmark after which a watch is given up. */
-const watchSilence = 15_000;
+/** Milliseconds without an event or bookmark after which a watch is aborted. */
+const watchIdleTimeout = 15_000;
 
-/** The platform's object API, reached by HTTP. */
+/** Accesses the object API over HTTP. */
 export class HttpPlatform extends Platform {
 	readonly #url: string;
 	readonly #clock: Clock;
@@ -34,14 +34,14 @@
 		let resourceVersion = 0;
 		do {
 			const query = `?limit=${pageSize}&continue=${encodeURIComponent(token)}`;
-			const answer = await this.#call('GET', query);
+			const answer = await this.#sendRequest('GET', query);
 			if (answer.isLeft()) {
 				return Left(answer.extract());
 			}
 
 			const page = answer.extract() as ListPage;
 			objects.push(...parseObjects(page.items));
-			// All pages are of one version; the first names it.
+			// All pages belong to the same version, which the first page contains.
 			resourceVersion ||= Number(page.metadata.resourceVersion);
 			token = page.metadata.continue ?? '';
 		} while (token !== '');
@@ -50,36 +50,36 @@
 	}
 
 	override async watchObjects(after: number, handlers: WatchHandlers, signal: AbortSignal): Promise<PlatformFailure> {
-		const silence = new SilenceTimer(this.#clock, watchSilence, signal);
+		const idleTimer = new IdleTimer(this.#clock, watchIdleTimeout, signal);
 		try {
-			const response = await request(`${this.#url}${basePath}?watch=1&resourceVersion=${after}`, {dispatcher: this.#agent, signal: silence.signal});
+			const response = await request(`${this.#url}${basePath}?watch=1&resourceVersion=${after}`, {dispatcher: this.#agent, signal: idleTimer.signal});
 			if (response.statusCode !== 200) {
 				await response.body.dump();
 				return {kind: response.statusCode === 410 ? 'expired' : 'unreachable', message: `watch answered ${response.statusCode}`};
 			}
 
 			handlers.onOpen();
-			return await readWatch(response.body, handlers.onEvent, silence);
+			return await readWatch(response.body, handlers.onEvent, idleTimer);
 		} catch (error) {
 			return {kind: 'unreachable', message: readErrorMessage(error)};
 		} finally {
-			silence.cancel();
+			idleTimer.cancel();
 		}
 	}
 
 	override async readObject(kind: string, name: string): Promise<Either<PlatformFailure, PlatformObject | undefined>> {
-		const answer = await this.#call('GET', `/${kind}/${name}`);
+		const answer = await this.#sendRequest('GET', `/${kind}/${name}`);
 		return answer.map(body => body === undefined ? undefined : platformObjectSchema.parse(body));
 	}
 
 	override async writeObject(object: PlatformObjectInput, expectedVersion: number): Promise<Either<PlatformFailure, PlatformObject>> {
 		const body = {...object, metadata: {name: object.metadata.name, resourceVersion: String(expectedVersion)}};
-		const answer = await this.#call('PUT', `/${object.kind}/${object.metadata.name}`, body);
+		const answer = await this.#sendRequest('PUT', `/${object.kind}/${object.metadata.name}`, body);
 		return answer.map(stored => platformObjectSchema.parse(stored));
 	}
 
-	async #call(method: Dispatcher.HttpMethod, path: string, body?: unknown): Promise<Either<PlatformFailure, unknown>> {
-		const timeout = createTimeout(this.#clock, callTimeout);
+	async #sendRequest(method: Dispatcher.HttpMethod, path: string, body?: unknown): Promise<Either<PlatformFailure, unknown>> {
+		const timeout = createTimeout(this.#clock, requestTimeout);
 		try {
 			const response = await request(`${this.#url}${basePath}${path}`, {
 				method,
@@ -120,26 +120,26 @@
 	return Left({kind: response.statusCode >= 500 || response.statusCode === 429 ? 'unreachable' : 'rejected', message});
 }
 
-/** Objects of kinds this version does not know are left out, so that a newer one can add kinds. */
+/** Parses objects and skips invalid ones and unknown kinds, so that newer versions can add kinds. */
 function parseObjects(items: unknown[]): PlatformObject[] {
 	return items.flatMap(item => {
-		const checked = platformObjectSchema.safeParse(item);
-		return checked.success ? [checked.data] : [];
+		const parsed = platformObjectSchema.safeParse(item);
+		return parsed.success ? [parsed.data] : [];
 	});
 }
 
-async function readWatch(body: AsyncIterable<Uint8Array>, onEvent: (event: WatchEvent) => void, silence: SilenceTimer): Promise<PlatformFailure> {
+async function readWatch(body: AsyncIterable<Uint8Array>, onEvent: (event: WatchEvent) => void, idleTimer: IdleTimer): Promise<PlatformFailure> {
 	const decoder = new TextDecoder();
 	let pending = '';
 	for await (const chunk of body) {
-		silence.restart();
+		idleTimer.restart();
 		pending += decoder.decode(chunk, {stream: true});
 		const lines = pending.split('\n');
 		pending = lines.pop() ?? '';
 		for (const line of lines.filter(text => text !== '')) {
 			const event = JSON.parse(line) as {type: string; object: {code?: number}};
 			if (event.type === 'ERROR') {
-				return {kind: event.object.code === 410 ? 'expired' : 'unreachable', message: 'the watch was ended by the platform'};
+				return {kind: event.object.code === 410 ? 'expired' : 'unreachable', message: 'the platform closed the watch with an error'};
 			}
 
 			const [object] = event.type === 'BOOKMARK' ? [] : parseObjects([event.object]);
@@ -152,21 +152,21 @@
 	return {kind: 'unreachable', message: 'the watch ended'};
 }
 
-/** Aborts a watch that has been silent for too long: a half-open connection looks just so. */
-class SilenceTimer {
+/** Aborts a watch that has been idle for too long, since a half-open connection delivers no error. */
+class IdleTimer {
 	readonly #clock: Clock;
 	readonly #delay: number;
 	readonly #controller = new AbortController();
 	#timer: {cancel(): void};
 
-	constructor(clock: Clock, delay: number, outer: AbortSignal) {
+	constructor(clock: Clock, delay: number, parent: AbortSignal) {
 		this.#clock = clock;
 		this.#delay = delay;
 		this.#timer = this.#arm();
-		outer.addEventListener('abort', () => {
+		parent.addEventListener('abort', () => {
 			this.#controller.abort();
 		}, {once: true, signal: this.#controller.signal});
-		if (outer.aborted) {
+		if (parent.aborted) {
 			this.#controller.abort();
 		}
 	}
