--- a/src/node/entry/addresses.ts
+++ b/src/node/entry/addresses.ts
@@ -17,30 +17,30 @@
 };
 
 /** A node as far as addresses need it. */
-export type AddressSource = {
+export type AddressableNode = {
 	callerUrl: string;
 	availabilityZone: string;
 	incarnation: Incarnation;
 };
 
 /** Addresses in one answer. */
-const mostAddresses = 8;
+const maxAddresses = 8;
 
 /**
  * Orders the addresses: those of the caller's availability zone first, and within
  * a zone turned by a random number, so that callers do not all pick the same.
  */
-export function listAddresses(sources: AddressSource[], zone: AvailabilityZone, {second, random}: {second: number; random: () => number}): AddressEntry[] {
-	const near = turnList(sources.filter(source => source.availabilityZone === zone), random());
-	const far = turnList(sources.filter(source => source.availabilityZone !== zone), random());
-	return [...near, ...far].slice(0, mostAddresses).map(source => ({
-		url: source.callerUrl,
-		availabilityZone: source.availabilityZone,
-		incarnation: formatAddressToken(source.incarnation, second),
+export function listAddresses(nodes: AddressableNode[], zone: AvailabilityZone, {second, random}: {second: number; random: () => number}): AddressEntry[] {
+	const sameZone = rotateList(nodes.filter(node => node.availabilityZone === zone), random());
+	const otherZones = rotateList(nodes.filter(node => node.availabilityZone !== zone), random());
+	return [...sameZone, ...otherZones].slice(0, maxAddresses).map(node => ({
+		url: node.callerUrl,
+		availabilityZone: node.availabilityZone,
+		incarnation: formatAddressToken(node.incarnation, second),
 	}));
 }
 
-function turnList<Item>(items: Item[], turn: number): Item[] {
-	const start = Math.floor(turn * items.length);
+function rotateList<Item>(items: Item[], fraction: number): Item[] {
+	const start = Math.floor(fraction * items.length);
 	return [...items.slice(start), ...items.slice(0, start)];
 }
--- a/src/node/entry/answer-sink.ts
+++ b/src/node/entry/answer-sink.ts
@@ -4,13 +4,13 @@
 import {findAnswer, formatErrorBody, type Failure} from '../../common/index.js';
 import type {AnswerHead} from '../../rpc/index.js';
 
-/** Takes an answer piece by piece. */
+/** Takes an answer chunk by chunk. */
 export abstract class AnswerSink {
 	/** Whether `start` has been called. */
 	abstract readonly hasStarted: boolean;
 
 	/** Fires when nobody waits for the answer any more. */
-	abstract readonly gone: AbortSignal;
+	abstract readonly disconnected: AbortSignal;
 
 	/** Whether more is waiting to be taken than should be; `waitForRoom` before writing on. */
 	abstract readonly isFull: boolean;
@@ -18,11 +18,11 @@
 	/** Sends the head. Called once. */
 	abstract start(head: AnswerHead): void;
 
-	/** Sends a piece. */
-	abstract write(piece: string | Uint8Array): void;
+	/** Sends a chunk. */
+	abstract write(chunk: string | Uint8Array): void;
 
 	/** Resolves when there is room, so that a slow reader slows the backend server, or when the reader is gone. */
-	abstract waitForRoom(): Promise<void>;
+	abstract waitForDrain(): Promise<void>;
 
 	/** Ends a whole answer. */
 	abstract end(): void;
@@ -31,13 +31,13 @@
 	abstract flush(): Promise<void>;
 
 	/** Ends a short answer: a stream that cannot carry an error of its own is cut, so that its reader sees the lack. */
-	abstract cut(): void;
+	abstract abort(): void;
 }
 
 /** Sends an answer over a caller's HTTP connection. */
 export class HttpAnswerSink extends AnswerSink {
 	readonly #response: ServerResponse;
-	readonly #gone = new AbortController();
+	readonly #disconnected = new AbortController();
 	#hasStarted = false;
 	#hasEnded = false;
 
@@ -46,11 +46,11 @@
 		this.#response = response;
 		response.once('close', () => {
 			if (!this.#hasEnded) {
-				this.#gone.abort();
+				this.#disconnected.abort();
 			}
 		});
 		response.on('error', () => {
-			this.#gone.abort();
+			this.#disconnected.abort();
 		});
 	}
 
@@ -58,8 +58,8 @@
 		return this.#hasStarted;
 	}
 
-	override get gone(): AbortSignal {
-		return this.#gone.signal;
+	override get disconnected(): AbortSignal {
+		return this.#disconnected.signal;
 	}
 
 	override start(head: AnswerHead): void {
@@ -68,16 +68,16 @@
 	}
 
 	override get isFull(): boolean {
-		return this.#response.writableNeedDrain && !this.gone.aborted;
+		return this.#response.writableNeedDrain && !this.disconnected.aborted;
 	}
 
-	override write(piece: string | Uint8Array): void {
-		if (!this.gone.aborted) {
-			this.#response.write(piece);
+	override write(chunk: string | Uint8Array): void {
+		if (!this.disconnected.aborted) {
+			this.#response.write(chunk);
 		}
 	}
 
-	override async waitForRoom(): Promise<void> {
+	override async waitForDrain(): Promise<void> {
 		if (!this.isFull) {
 			return;
 		}
@@ -85,12 +85,12 @@
 		await new Promise<void>(resolve => {
 			const finish = () => {
 				this.#response.off('drain', finish);
-				this.gone.removeEventListener('abort', finish);
+				this.disconnected.removeEventListener('abort', finish);
 				resolve();
 			};
 
 			this.#response.once('drain', finish);
-			this.gone.addEventListener('abort', finish, {once: true});
+			this.disconnected.addEventListener('abort', finish, {once: true});
 		});
 	}
 
@@ -99,7 +99,7 @@
 		this.#response.end();
 	}
 
-	override cut(): void {
+	override abort(): void {
 		this.#hasEnded = true;
 		this.#response.destroy();
 	}
@@ -132,7 +132,7 @@
 	return {status: answer.status, headers};
 }
 
-/** Ends an answer with a failure: a whole error before the first piece, an error event in a stream, a cut elsewhere. */
+/** Ends an answer with a failure: a whole error before the first chunk, an error event in a stream, a cut elsewhere. */
 export function sendFailure(sink: AnswerSink, failure: Failure, isEventStream: boolean): void {
 	const body = JSON.stringify(formatErrorBody(failure));
 	if (!sink.hasStarted) {
@@ -144,7 +144,7 @@
 	}
 
 	if (!isEventStream) {
-		sink.cut();
+		sink.abort();
 		return;
 	}
 
--- a/src/node/entry/answer-writer.ts
+++ b/src/node/entry/answer-writer.ts
@@ -1,7 +1,7 @@
 /** Writes a completion's chunks to the caller: as they come, or gathered into one whole answer. */
 import {Buffer} from 'node:buffer';
 import type {Clock, Metrics} from '../../common/index.js';
-import {AnswerMerge, type JsonObject} from './answer-merge.js';
+import {ChunkMerger, type JsonObject} from './chunk-merger.js';
 import type {AnswerSink} from './answer-sink.js';
 import {buildContinuation} from './continuation.js';
 import type {CallerRequest, CompletionBody} from './caller-request.js';
@@ -21,13 +21,13 @@
 	readonly #completion: CompletionBody;
 	readonly #sink: AnswerSink;
 	readonly #parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator};
-	readonly #wantsUsage: boolean;
-	#merge: AnswerMerge;
+	readonly #isUsageRequested: boolean;
+	#merger: ChunkMerger;
 	/** Id of the first chunk; a continued answer keeps it. */
-	#answerId: unknown;
+	#completionId: unknown;
 	#deliveredText = '';
 	#deliveredChunks = 0;
-	#firstToken: number | undefined;
+	#timeToFirstToken: number | undefined;
 	#isContinued = false;
 
 	constructor(request: CallerRequest, sink: AnswerSink, parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator}) {
@@ -41,8 +41,8 @@
 		this.#parts = parts;
 		this.isStream = request.completion.stream === true;
 		this.choiceCount = Number(request.completion.n ?? 1);
-		this.#wantsUsage = (request.completion.stream_options as {include_usage?: boolean} | undefined)?.include_usage === true;
-		this.#merge = this.#createMerge();
+		this.#isUsageRequested = (request.completion.stream_options as {include_usage?: boolean} | undefined)?.include_usage === true;
+		this.#merger = this.#createMerger();
 	}
 
 	/** Whether any part of the answer has reached the caller. */
@@ -51,8 +51,8 @@
 	}
 
 	/** Milliseconds from arrival to the first token. */
-	get firstToken(): number | undefined {
-		return this.#firstToken;
+	get timeToFirstToken(): number | undefined {
+		return this.#timeToFirstToken;
 	}
 
 	/** Whether the answer can go on elsewhere from what the caller has. */
@@ -63,19 +63,19 @@
 	}
 
 	/** Whether the caller takes the answer more slowly than it comes. */
-	get isBehind(): boolean {
+	get isBackpressured(): boolean {
 		return this.#sink.isFull;
 	}
 
 	/** Resolves when the caller has caught up or is gone. */
-	async waitForRoom(): Promise<void> {
-		await this.#sink.waitForRoom();
+	async waitForDrain(): Promise<void> {
+		await this.#sink.waitForDrain();
 	}
 
 	/** Prepares for an attempt on another engine. */
 	startAttempt(): void {
 		this.#isContinued = this.hasDelivered;
-		this.#merge = this.#createMerge();
+		this.#merger = this.#createMerger();
 	}
 
 	/** Makes the JSON text for the engine: always a stream, with usage, at a priority of which the least goes first. */
@@ -91,15 +91,15 @@
 
 	/** Takes the next checked chunk. */
 	writeChunk(data: string, chunk: JsonObject): void {
-		this.#firstToken ??= this.#parts.clock.readMonotonic() - this.#request.arrived;
-		this.#learnUsage(chunk.usage as Usage | undefined);
+		this.#timeToFirstToken ??= this.#parts.clock.readMonotonic() - this.#request.arrivedAt;
+		this.#recordUsage(chunk.usage as Usage | undefined);
 		if (!this.isStream) {
-			this.#merge.addChunk(chunk);
+			this.#merger.addChunk(chunk);
 			return;
 		}
 
 		const isUsageOnly = Array.isArray(chunk.choices) && chunk.choices.length === 0;
-		if (isUsageOnly && !this.#wantsUsage) {
+		if (isUsageOnly && !this.#isUsageRequested) {
 			return;
 		}
 
@@ -110,9 +110,9 @@
 			});
 		}
 
-		this.#answerId ??= chunk.id;
-		this.#remember(chunk);
-		const text = this.#isContinued ? JSON.stringify({...chunk, id: this.#answerId}) : data;
+		this.#completionId ??= chunk.id;
+		this.#recordDelivered(chunk);
+		const text = this.#isContinued ? JSON.stringify({...chunk, id: this.#completionId}) : data;
 		this.#sink.write(`data: ${text}\n\n`);
 	}
 
@@ -124,7 +124,7 @@
 			return;
 		}
 
-		const body = JSON.stringify(this.#merge.build());
+		const body = JSON.stringify(this.#merger.build());
 		this.#sink.start({
 			status: 200,
 			headers: {
@@ -135,7 +135,7 @@
 		this.#sink.end();
 	}
 
-	#remember(chunk: JsonObject): void {
+	#recordDelivered(chunk: JsonObject): void {
 		this.#deliveredChunks++;
 		if (!this.#request.serviceSpec.continuable) {
 			return;
@@ -145,14 +145,14 @@
 		this.#deliveredText += choice?.delta?.content ?? choice?.text ?? '';
 	}
 
-	#learnUsage(usage: Usage | undefined): void {
+	#recordUsage(usage: Usage | undefined): void {
 		// A continued prompt is longer than the body by what was already answered.
 		if (usage?.prompt_tokens !== undefined && !this.#isContinued) {
-			this.#parts.estimator.learn(this.#request.service, this.#request.body.length, usage.prompt_tokens);
+			this.#parts.estimator.update(this.#request.service, this.#request.body.length, usage.prompt_tokens);
 		}
 	}
 
-	#createMerge(): AnswerMerge {
-		return new AnswerMerge(this.#request.operation, Math.floor(this.#parts.clock.now().getTime() / millisecondsPerSecond));
+	#createMerger(): ChunkMerger {
+		return new ChunkMerger(this.#request.operation, Math.floor(this.#parts.clock.now().getTime() / millisecondsPerSecond));
 	}
 }
--- a/src/node/entry/caller-request.ts
+++ b/src/node/entry/caller-request.ts
@@ -40,7 +40,7 @@
 	/** Tokens of output to hold memory for. */
 	outputTokens: number;
 	/** Monotonic time of arrival, in milliseconds. */
-	arrived: number;
+	arrivedAt: number;
 	/** Monotonic time by which the caller has an answer or an error, in milliseconds. */
 	deadline: number;
 	/** Whether running it twice does no harm. */
@@ -53,7 +53,7 @@
 	/** Absent when the whole answer was given. */
 	failure?: Failure;
 	/** Milliseconds from arrival to the first token or byte; absent where there was none. */
-	firstToken?: number;
+	timeToFirstToken?: number;
 };
 
 /** Names the request on the engine for one attempt: engines know attempts, callers know requests. */
--- a/src/node/entry/chunk-check.ts
+++ b/src/node/entry/chunk-checker.ts
@@ -1,7 +1,7 @@
 /** Checks each event of an answer: that it belongs to the request, comes in order, and that the answer is whole. Pure. */
 import {finishMarker, type EngineEvent} from '../../backends/index.js';
 import type {RequestId} from '../../common/index.js';
-import type {JsonObject} from './answer-merge.js';
+import type {JsonObject} from './chunk-merger.js';
 import type {Operation} from './caller-request.js';
 
 /** What an event turned out to be. */
@@ -20,15 +20,15 @@
 const idPrefixes = {chat: 'chatcmpl-', text: 'cmpl-', plain: ''} as const;
 
 /** Follows one attempt on one engine. */
-export class ChunkCheck {
+export class ChunkChecker {
 	readonly #expectedId: string;
 	#lastSequence = 0;
-	readonly #open = new Set<number>();
+	readonly #unfinishedChoices = new Set<number>();
 
 	constructor(operation: Operation, attemptId: RequestId, choiceCount: number) {
 		this.#expectedId = `${idPrefixes[operation]}${attemptId}`;
 		for (let index = 0; index < choiceCount; index++) {
-			this.#open.add(index);
+			this.#unfinishedChoices.add(index);
 		}
 	}
 
@@ -55,7 +55,7 @@
 	}
 
 	#checkMarker(): CheckedEvent {
-		if (this.#open.size > 0) {
+		if (this.#unfinishedChoices.size > 0) {
 			return {kind: 'broken', reason: 'the finish marker came before every choice had ended'};
 		}
 
@@ -76,7 +76,7 @@
 		this.#lastSequence = event.sequence;
 		for (const choice of (chunk.choices ?? []) as JsonObject[]) {
 			if (typeof choice.finish_reason === 'string') {
-				this.#open.delete(Number(choice.index ?? 0));
+				this.#unfinishedChoices.delete(Number(choice.index ?? 0));
 			}
 		}
 
--- a/src/node/entry/answer-merge.ts
+++ b/src/node/entry/chunk-merger.ts
@@ -12,12 +12,12 @@
 export type JsonObject = Record<string, unknown>;
 
 /** Strings that name a thing and are sent once or repeated; they are not joined. */
-const replacedKeys = new Set(['id', 'role', 'type', 'name', 'object', 'model', 'finish_reason']);
+const nonConcatenatedKeys = new Set(['id', 'role', 'type', 'name', 'object', 'model', 'finish_reason']);
 
 /** Collects chunks. */
-export class AnswerMerge {
+export class ChunkMerger {
 	readonly #operation: Operation;
-	#head: JsonObject = {};
+	#fields: JsonObject = {};
 	readonly #choices = new Map<number, JsonObject>();
 
 	readonly #createdSecond: number;
@@ -34,7 +34,7 @@
 		for (const [key, value] of Object.entries(head)) {
 			// Chunks before the last carry `usage: null`.
 			if (value !== null) {
-				this.#head[key] = value;
+				this.#fields[key] = value;
 			}
 		}
 
@@ -47,15 +47,15 @@
 	/** Makes the whole answer in the shape that a request without `stream` gets. */
 	build(): JsonObject {
 		const choices = [...this.#choices.entries()].sort(([left], [right]) => left - right).map(([, choice]) => choice);
-		const created = Number(this.#head.created ?? 0) > 0 ? this.#head.created : this.#createdSecond;
+		const created = Number(this.#fields.created ?? 0) > 0 ? this.#fields.created : this.#createdSecond;
 		if (this.#operation === 'text') {
 			return {
-				...this.#head, created, object: 'text_completion', choices,
+				...this.#fields, created, object: 'text_completion', choices,
 			};
 		}
 
 		return {
-			...this.#head,
+			...this.#fields,
 			created,
 			object: 'chat.completion',
 			choices: choices.map(({delta, ...choice}) => ({...choice, message: buildMessage(delta as JsonObject | undefined)})),
@@ -87,7 +87,7 @@
 	}
 
 	if (typeof before === 'string' && typeof after === 'string') {
-		return replacedKeys.has(key) ? after : before + after;
+		return nonConcatenatedKeys.has(key) ? after : before + after;
 	}
 
 	if (Array.isArray(before) && Array.isArray(after)) {
@@ -104,11 +104,11 @@
 function mergeLists(before: JsonObject[], after: JsonObject[]): JsonObject[] {
 	const merged = [...before];
 	for (const item of after) {
-		const place = item.index === undefined ? -1 : merged.findIndex(known => known.index === item.index);
-		if (place === -1) {
+		const position = item.index === undefined ? -1 : merged.findIndex(existing => existing.index === item.index);
+		if (position === -1) {
 			merged.push(item);
 		} else {
-			merged[place] = mergeObjects(merged[place], item);
+			merged[position] = mergeObjects(merged[position], item);
 		}
 	}
 
--- a/src/node/entry/completion-run.ts
+++ b/src/node/entry/completion-run.ts
@@ -16,33 +16,33 @@
 import {AnswerWriter} from './answer-writer.js';
 import {sendFailure, type AnswerSink} from './answer-sink.js';
 import {formatAttemptId, type CallerRequest, type RequestOutcome} from './caller-request.js';
-import {ChunkCheck} from './chunk-check.js';
+import {ChunkChecker} from './chunk-checker.js';
 import type {GrantClient} from './grant-client.js';
-import type {RequestBound} from './request-bound.js';
+import type {RequestCancellation} from './request-cancellation.js';
 import type {RetryBudget} from './retry-budget.js';
 import type {TokenEstimator} from './token-estimator.js';
 
 /** What runs need from the entry. */
-export type RunParts = {
+export type CompletionRunParts = {
 	clock: Clock;
 	logger: Logger;
 	metrics: Metrics;
 	engines: EngineClient;
 	canceller: Canceller;
 	grants: GrantClient;
-	budget: RetryBudget;
+	retryBudget: RetryBudget;
 	estimator: TokenEstimator;
 };
 
 /** Resumes without a new event in between before the engine counts as gone. */
-const mostResumes = 4;
-const firstResumeDelay = 50;
+const maxResumes = 4;
+const initialResumeDelay = 50;
 
 /** Engines tried for one request. */
-const mostAttempts = 4;
+const maxAttempts = 4;
 
 /** How one attempt on one engine ended. */
-type AttemptEnd =
+type AttemptResult =
 	| {kind: 'finished'}
 	/** The request cannot succeed anywhere, or must not be tried again. */
 	| {kind: 'failed'; failure: Failure}
@@ -54,18 +54,18 @@
 
 /** One completion being served. */
 export class CompletionRun {
-	readonly #parts: RunParts;
+	readonly #parts: CompletionRunParts;
 	readonly #request: CallerRequest;
 	readonly #sink: AnswerSink;
-	readonly #bound: RequestBound;
+	readonly #cancellation: RequestCancellation;
 	readonly #writer: AnswerWriter;
 	readonly #excluded: BackendServerId[] = [];
 
-	constructor(parts: RunParts, request: CallerRequest, sink: AnswerSink, bound: RequestBound) {
+	constructor(parts: CompletionRunParts, request: CallerRequest, sink: AnswerSink, cancellation: RequestCancellation) {
 		this.#parts = parts;
 		this.#request = request;
 		this.#sink = sink;
-		this.#bound = bound;
+		this.#cancellation = cancellation;
 		this.#writer = new AnswerWriter(request, sink, parts);
 	}
 
@@ -76,25 +76,25 @@
 			sendFailure(this.#sink, failure, this.#writer.isStream);
 		}
 
-		return {failure, firstToken: this.#writer.firstToken};
+		return {failure, timeToFirstToken: this.#writer.timeToFirstToken};
 	}
 
 	async #tryEngines(): Promise<Failure | undefined> {
-		let hasRun = false;
+		let mayHaveRun = false;
 		for (let attempt = 1; ; attempt++) {
 			const attemptId = formatAttemptId(this.#request.requestId, attempt);
-			const obtained = await this.#parts.grants.obtain(this.#request, attemptId, this.#excluded, this.#bound.signal);
+			const obtained = await this.#parts.grants.obtain(this.#request, attemptId, this.#excluded, this.#cancellation.signal);
 			if (obtained.isLeft()) {
-				const failure = this.#bound.findFailure(hasRun) ?? obtained.extract();
-				return hasRun && failure.ran === undefined ? {...failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : failure;
+				const failure = this.#cancellation.findFailure(mayHaveRun) ?? obtained.extract();
+				return mayHaveRun && failure.ran === undefined ? {...failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : failure;
 			}
 
 			const {grant, usableUntil} = obtained.extract() as {grant: Grant; usableUntil: number};
-			const end = await this.#useGrant(grant, usableUntil, attemptId);
-			hasRun ||= end.kind === 'lost' || end.kind === 'aborted';
-			const verdict = this.#judge(end, attempt, hasRun);
-			if (verdict !== 'again') {
-				return verdict;
+			const result = await this.#useGrant(grant, usableUntil, attemptId);
+			mayHaveRun ||= result.kind === 'lost' || result.kind === 'aborted';
+			const decision = this.#evaluateAttempt(result, attempt, mayHaveRun);
+			if (decision !== 'retry') {
+				return decision;
 			}
 
 			this.#excluded.push(grant.backendServer);
@@ -102,26 +102,26 @@
 	}
 
 	/** Decides after an attempt: undefined when the answer is whole, a failure, or another attempt. */
-	#judge(end: AttemptEnd, attempt: number, hasRun: boolean): Failure | 'again' | undefined {
-		if (end.kind === 'finished') {
+	#evaluateAttempt(result: AttemptResult, attempt: number, mayHaveRun: boolean): Failure | 'retry' | undefined {
+		if (result.kind === 'finished') {
 			return undefined;
 		}
 
-		if (end.kind === 'aborted') {
-			return this.#bound.findFailure(true);
+		if (result.kind === 'aborted') {
+			return this.#cancellation.findFailure(true);
 		}
 
-		if (end.kind === 'failed' || attempt >= mostAttempts) {
-			return end.failure;
+		if (result.kind === 'failed' || attempt >= maxAttempts) {
+			return result.failure;
 		}
 
 		// A refusal after an earlier attempt that may have run must not claim that nothing ran.
-		const failure: Failure = hasRun ? {...end.failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : end.failure;
-		if (end.kind === 'lost' && !this.#canRunAgain()) {
+		const failure: Failure = mayHaveRun ? {...result.failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : result.failure;
+		if (result.kind === 'lost' && !this.#canRetry()) {
 			return failure;
 		}
 
-		if (!this.#parts.budget.takeRetry()) {
+		if (!this.#parts.retryBudget.takeRetry()) {
 			return failure;
 		}
 
@@ -129,10 +129,10 @@
 		this.#parts.logger.info({
 			event: 'retry', request: this.#request.requestId, attempt, reason: failure.message, continued: this.#writer.hasDelivered,
 		}, 'request runs again elsewhere');
-		return 'again';
+		return 'retry';
 	}
 
-	#canRunAgain(): boolean {
+	#canRetry(): boolean {
 		if (!this.#request.isRepeatable) {
 			return false;
 		}
@@ -140,22 +140,22 @@
 		return !this.#writer.hasDelivered || this.#writer.canContinue;
 	}
 
-	async #useGrant(grant: Grant, usableUntil: number, attemptId: RequestId): Promise<AttemptEnd> {
+	async #useGrant(grant: Grant, usableUntil: number, attemptId: RequestId): Promise<AttemptResult> {
 		if (this.#parts.clock.readMonotonic() > usableUntil) {
 			// The reply took longer than the grant lives: the dispatcher may have given its memory to others.
 			this.#parts.grants.release(grant);
 			return {kind: 'refused', failure: createFailure('no_dispatcher', 'the grant arrived too late to be used')};
 		}
 
-		const end = await this.#runOnEngine(grant, attemptId);
-		if (end.kind === 'finished' || end.kind === 'refused') {
+		const result = await this.#runOnEngine(grant, attemptId);
+		if (result.kind === 'finished' || result.kind === 'refused') {
 			this.#parts.grants.release(grant);
 		} else {
 			// The caller does not wait for the engine's word; the memory does.
 			void this.#cancelAndRelease(grant, attemptId);
 		}
 
-		return end;
+		return result;
 	}
 
 	async #cancelAndRelease(grant: Grant, attemptId: RequestId): Promise<void> {
@@ -163,63 +163,63 @@
 		this.#parts.grants.release(grant);
 	}
 
-	async #runOnEngine(grant: Grant, attemptId: RequestId): Promise<AttemptEnd> {
-		const check = new ChunkCheck(this.#request.operation, attemptId, this.#writer.choiceCount);
+	async #runOnEngine(grant: Grant, attemptId: RequestId): Promise<AttemptResult> {
+		const checker = new ChunkChecker(this.#request.operation, attemptId, this.#writer.choiceCount);
 		this.#writer.startAttempt();
 		const started = await this.#parts.engines.startCompletion({
 			url: grant.url,
 			path: this.#request.operation === 'chat' ? '/v1/chat/completions' : '/v1/completions',
 			requestId: attemptId,
 			body: this.#writer.buildEngineBody(grant.priority),
-			signal: this.#bound.signal,
+			signal: this.#cancellation.signal,
 		});
 		let events: Either<BackendFailure, AsyncIterable<EngineEvent[]>> = started;
 		let failedResumes = 0;
 		let wasCrossed = false;
 		for (;;) {
-			if (this.#bound.signal.aborted) {
+			if (this.#cancellation.signal.aborted) {
 				return {kind: 'aborted'};
 			}
 
 			if (events.isLeft()) {
-				const end = this.#judgeOpening(events.extract(), check, started.isLeft());
-				if (end !== undefined) {
-					return end;
+				const result = this.#evaluateOpenFailure(events.extract(), checker, started.isLeft());
+				if (result !== undefined) {
+					return result;
 				}
 			} else {
-				const before = check.lastSequence;
-				const end = await this.#consume(events.extract() as AsyncIterable<EngineEvent[]>, check);
-				if (end === 'finished') {
+				const before = checker.lastSequence;
+				const result = await this.#consume(events.extract() as AsyncIterable<EngineEvent[]>, checker);
+				if (result === 'finished') {
 					return {kind: 'finished'};
 				}
 
-				wasCrossed ||= end === 'crossed';
-				failedResumes = check.lastSequence > before ? 0 : failedResumes;
+				wasCrossed ||= result === 'crossed';
+				failedResumes = checker.lastSequence > before ? 0 : failedResumes;
 			}
 
-			if (failedResumes >= mostResumes || (failedResumes > 0 && !this.#parts.budget.takeRetry())) {
-				return {kind: 'lost', failure: this.#describeLoss(check, wasCrossed)};
+			if (failedResumes >= maxResumes || (failedResumes > 0 && !this.#parts.retryBudget.takeRetry())) {
+				return {kind: 'lost', failure: this.#createLossFailure(checker, wasCrossed)};
 			}
 
-			await waitFor(this.#parts.clock, firstResumeDelay * (2 ** failedResumes), this.#bound.signal);
+			await waitFor(this.#parts.clock, initialResumeDelay * (2 ** failedResumes), this.#cancellation.signal);
 			failedResumes++;
 			this.#parts.metrics.incrementCounter('resumes', {service: this.#request.service});
-			events = await this.#resume(grant, attemptId, check);
+			events = await this.#resume(grant, attemptId, checker);
 		}
 	}
 
-	async #resume(grant: Grant, attemptId: RequestId, check: ChunkCheck): Promise<Either<BackendFailure, AsyncIterable<EngineEvent[]>>> {
-		if (this.#bound.signal.aborted) {
+	async #resume(grant: Grant, attemptId: RequestId, checker: ChunkChecker): Promise<Either<BackendFailure, AsyncIterable<EngineEvent[]>>> {
+		if (this.#cancellation.signal.aborted) {
 			return Right([] as unknown as AsyncIterable<EngineEvent[]>);
 		}
 
-		return this.#parts.engines.resumeCompletion(grant.url, attemptId, check.lastSequence, this.#bound.signal);
+		return this.#parts.engines.resumeCompletion(grant.url, attemptId, checker.lastSequence, this.#cancellation.signal);
 	}
 
 	/** Judges a stream that did not open; undefined when a resume is worth trying. */
-	#judgeOpening(failure: BackendFailure, check: ChunkCheck, isFirst: boolean): AttemptEnd | undefined {
-		if (failure.kind === 'unknown_request' && (!isFirst || check.lastSequence > 0)) {
-			return {kind: 'lost', failure: this.#describeLoss(check, false)};
+	#evaluateOpenFailure(failure: BackendFailure, checker: ChunkChecker, isFirst: boolean): AttemptResult | undefined {
+		if (failure.kind === 'unknown_request' && (!isFirst || checker.lastSequence > 0)) {
+			return {kind: 'lost', failure: this.#createLossFailure(checker, false)};
 		}
 
 		if (!isFirst) {
@@ -243,18 +243,18 @@
 		}
 	}
 
-	async #consume(batches: AsyncIterable<EngineEvent[]>, check: ChunkCheck): Promise<'finished' | 'broken' | 'crossed'> {
+	async #consume(batches: AsyncIterable<EngineEvent[]>, checker: ChunkChecker): Promise<'finished' | 'broken' | 'crossed'> {
 		for await (const batch of batches) {
 			for (const event of batch) {
-				const end = this.#take(event, check);
-				if (end !== undefined) {
-					return end;
+				const result = this.#handleEvent(event, checker);
+				if (result !== undefined) {
+					return result;
 				}
 			}
 
 			// Only a caller that is slower than its answer is waited for: a wait costs as much as a token.
-			if (this.#writer.isBehind) {
-				await this.#writer.waitForRoom();
+			if (this.#writer.isBackpressured) {
+				await this.#writer.waitForDrain();
 			}
 		}
 
@@ -262,12 +262,12 @@
 	}
 
 	/** Takes one event; returns how the stream ended, or undefined while it goes on. */
-	#take(event: EngineEvent, check: ChunkCheck): 'finished' | 'broken' | 'crossed' | undefined {
-		if (this.#bound.signal.aborted) {
+	#handleEvent(event: EngineEvent, checker: ChunkChecker): 'finished' | 'broken' | 'crossed' | undefined {
+		if (this.#cancellation.signal.aborted) {
 			return 'broken';
 		}
 
-		const checked = check.check(event);
+		const checked = checker.check(event);
 		switch (checked.kind) {
 			case 'chunk': {
 				this.#writer.writeChunk(event.data, checked.chunk);
@@ -284,28 +284,28 @@
 			}
 
 			case 'broken': {
-				this.#logBreak(checked.reason);
+				this.#logStreamBroken(checked.reason);
 				return 'broken';
 			}
 
 			case 'crossed': {
-				this.#logBreak('a chunk of another request');
+				this.#logStreamBroken('a chunk of another request');
 				this.#parts.metrics.incrementCounter('crossed_chunks', {service: this.#request.service});
 				return 'crossed';
 			}
 		}
 	}
 
-	#logBreak(reason: string): void {
+	#logStreamBroken(reason: string): void {
 		this.#parts.logger.warn({event: 'stream_broken', request: this.#request.requestId, reason}, 'an answer stream was given up');
 	}
 
-	#describeLoss(check: ChunkCheck, wasCrossed: boolean): Failure {
+	#createLossFailure(checker: ChunkChecker, wasCrossed: boolean): Failure {
 		if (wasCrossed) {
 			return createFailure('answer_crossed', 'the backend server sent a chunk of another request and did not go on with this one', {ran: this.#writer.hasDelivered ? 'partly' : 'maybe'});
 		}
 
-		return check.lastSequence === 0
+		return checker.lastSequence === 0
 			? createFailure('backend_unconfirmed', 'the backend server was lost before it answered; the request may have run')
 			: createFailure('backend_lost', 'the backend server was lost in the middle of the answer');
 	}
--- a/src/node/entry/continuation.ts
+++ b/src/node/entry/continuation.ts
@@ -7,18 +7,18 @@
  * Returns undefined where an answer cannot go on from its text alone: tools, a
  * prompt that is not one string, or an output limit already reached.
  */
-export function buildContinuation(operation: Operation, body: CompletionBody, text: string, tokens: number): CompletionBody | undefined {
-	if (text === '' || body.tools !== undefined || body.response_format !== undefined) {
+export function buildContinuation(operation: Operation, body: CompletionBody, receivedText: string, receivedTokens: number): CompletionBody | undefined {
+	if (receivedText === '' || body.tools !== undefined || body.response_format !== undefined) {
 		return undefined;
 	}
 
-	const limits = lowerLimits(body, tokens);
+	const limits = lowerLimits(body, receivedTokens);
 	if (limits === undefined) {
 		return undefined;
 	}
 
 	if (operation === 'text') {
-		return typeof body.prompt === 'string' ? {...body, ...limits, prompt: body.prompt + text} : undefined;
+		return typeof body.prompt === 'string' ? {...body, ...limits, prompt: body.prompt + receivedText} : undefined;
 	}
 
 	if (!Array.isArray(body.messages)) {
@@ -28,7 +28,7 @@
 	return {
 		...body,
 		...limits,
-		messages: [...body.messages as unknown[], {role: 'assistant', content: text}],
+		messages: [...body.messages as unknown[], {role: 'assistant', content: receivedText}],
 		add_generation_prompt: false,
 		continue_final_message: true,
 	};
--- a/src/node/entry/bounded-sink.ts
+++ b/src/node/entry/deadline-sink.ts
@@ -4,15 +4,15 @@
 import {AnswerSink} from './answer-sink.js';
 
 /** Passes an answer on until a signal fires. */
-export class BoundedSink extends AnswerSink {
-	override readonly gone: AbortSignal;
+export class DeadlineSink extends AnswerSink {
+	override readonly disconnected: AbortSignal;
 	readonly #sink: AnswerSink;
 	#hasEnded = false;
 
-	constructor(sink: AnswerSink, limit: AbortSignal) {
+	constructor(sink: AnswerSink, deadline: AbortSignal) {
 		super();
 		this.#sink = sink;
-		this.gone = joinSignals([sink.gone, limit]).signal;
+		this.disconnected = joinSignals([sink.disconnected, deadline]).signal;
 	}
 
 	/** Whether the whole answer has been passed on. */
@@ -32,12 +32,12 @@
 		this.#sink.start(head);
 	}
 
-	override write(piece: string | Uint8Array): void {
-		this.#sink.write(piece);
+	override write(chunk: string | Uint8Array): void {
+		this.#sink.write(chunk);
 	}
 
-	override async waitForRoom(): Promise<void> {
-		await this.#sink.waitForRoom();
+	override async waitForDrain(): Promise<void> {
+		await this.#sink.waitForDrain();
 	}
 
 	override end(): void {
@@ -49,8 +49,8 @@
 		await this.#sink.flush();
 	}
 
-	override cut(): void {
+	override abort(): void {
 		this.#hasEnded = true;
-		this.#sink.cut();
+		this.#sink.abort();
 	}
 }
--- a/src/node/entry/entry.ts
+++ b/src/node/entry/entry.ts
@@ -17,15 +17,15 @@
 import {CompletionRun} from './completion-run.js';
 import {FrameSink} from './frame-sink.js';
 import type {GrantClient} from './grant-client.js';
-import {giveTurn} from './large-body.js';
+import {yieldToEventLoop} from './large-body.js';
 import {KeyedRouter} from './keyed-router.js';
-import {findLengthClass, longestShortPrompt, SlowdownTracker} from './length-class.js';
+import {findLengthClass, maxShortPromptTokens, SlowdownTracker} from './length-class.js';
 import {
-	authenticate, parseCompletion, parsePlainCall, type ParseParts, type RawRequest,
+	authenticate, parseCompletion, parsePlainCall, type ParseContext, type RawRequest,
 } from './parse-request.js';
 import {PlainRun} from './plain-run.js';
 import type {PrefixHasher} from './prompt-prefixes.js';
-import {RequestBound} from './request-bound.js';
+import {RequestCancellation} from './request-cancellation.js';
 import {RetryBudget} from './retry-budget.js';
 import {RunKeyStore} from './run-keys.js';
 import {TokenEstimator} from './token-estimator.js';
@@ -53,28 +53,28 @@
 
 /** Serves callers. */
 export class Entry {
-	readonly store: RunKeyStore;
+	readonly runKeys: RunKeyStore;
 	readonly #parts: EntryParts;
 	readonly #estimator = new TokenEstimator();
-	readonly #budget: RetryBudget;
-	readonly #slowdowns = new SlowdownTracker();
-	readonly #stopped = new AbortController();
-	readonly #keyed: KeyedRouter;
+	readonly #retryBudget: RetryBudget;
+	readonly #slowdownTracker = new SlowdownTracker();
+	readonly #stopController = new AbortController();
+	readonly #keyedRouter: KeyedRouter;
 	#requestCount = 0;
 	#inProgress = 0;
-	#heldBytes = 0;
+	#bufferedBytes = 0;
 
 	constructor(parts: EntryParts) {
 		this.#parts = parts;
 		// Every request in progress listens to this one signal.
-		setMaxListeners(0, this.#stopped.signal);
-		this.#budget = new RetryBudget(parts.settings.retryShare);
-		this.store = new RunKeyStore(parts.clock, parts.incarnation, parts.settings.runKeyLifetimeSeconds * 1000, parts.settings.keptOutcomesMebibytes * bytesPerMebibyte);
-		this.#keyed = new KeyedRouter({
-			store: this.store,
+		setMaxListeners(0, this.#stopController.signal);
+		this.#retryBudget = new RetryBudget(parts.settings.retryShare);
+		this.runKeys = new RunKeyStore(parts.clock, parts.incarnation, parts.settings.runKeyLifetimeSeconds * 1000, parts.settings.keptOutcomesMebibytes * bytesPerMebibyte);
+		this.#keyedRouter = new KeyedRouter({
+			runKeys: this.runKeys,
 			members: parts.members,
 			clients: parts.clients,
-			self: parts.incarnation,
+			ownIncarnation: parts.incarnation,
 			runRequest: async (request, sink) => this.#run(request, sink),
 		});
 	}
@@ -98,20 +98,20 @@
 	async * serveForwarded(keyed: KeyedRequest, signal: AbortSignal): AsyncGenerator<AnswerFrame> {
 		const parsed = parseRunKey(keyed.runKey);
 		const parts = parsed.isRight() ? parsed.extract() : undefined;
-		if (parts === undefined || !this.store.answersFor(parts.incarnation)) {
+		if (parts === undefined || !this.runKeys.answersFor(parts.incarnation)) {
 			yield {kind: 'not_owner'};
 			return;
 		}
 
 		const sink = new FrameSink(signal);
-		void this.#serveForwardedInto(keyed, parts, sink);
+		void this.#writeForwarded(keyed, parts, sink);
 		yield * sink.read();
 	}
 
 	/** Answers which addresses callers may use. */
 	listAddresses(zone: AvailabilityZone): AddressAnswer {
 		return {
-			addresses: listAddresses(this.#parts.members.listReady(), zone, {second: this.store.readSecond(), random: this.#parts.random}),
+			addresses: listAddresses(this.#parts.members.listReady(), zone, {second: this.runKeys.readSecond(), random: this.#parts.random}),
 			lifetimeSeconds: this.#parts.settings.addressLifetimeSeconds,
 		};
 	}
@@ -123,11 +123,11 @@
 	}
 
 	/** Ends every request in progress with an error. */
-	stopNow(): void {
-		this.#stopped.abort();
+	abortRequests(): void {
+		this.#stopController.abort();
 	}
 
-	async #serve(raw: RawRequest, sink: AnswerSink, parse: (parts: ParseParts) => Promise<Either<Failure, CallerRequest>>): Promise<void> {
+	async #serve(raw: RawRequest, sink: AnswerSink, parse: (parts: ParseContext) => Promise<Either<Failure, CallerRequest>>): Promise<void> {
 		const refusal = this.#findRefusal(raw.body.length);
 		if (refusal !== undefined) {
 			this.#parts.metrics.incrementCounter('refusals', {kind: refusal.kind});
@@ -136,16 +136,16 @@
 		}
 
 		this.#inProgress++;
-		this.#heldBytes += raw.body.length;
+		this.#bufferedBytes += raw.body.length;
 		try {
-			await this.#serveParsed(await parse(this.#parseParts()), sink);
+			await this.#serveParsed(await parse(this.#createParseContext()), sink);
 		} catch (error) {
 			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'a request failed for a reason of the node\'s own');
 			sendFailure(sink, createFailure('internal', 'the node failed; whether the request ran is not known'), sink.hasStarted);
 		} finally {
 			await sink.flush();
 			this.#inProgress--;
-			this.#heldBytes -= raw.body.length;
+			this.#bufferedBytes -= raw.body.length;
 		}
 	}
 
@@ -160,53 +160,53 @@
 		const request = parsed.extract() as CallerRequest;
 		const outcome = request.runKey === undefined
 			? await this.#run(request, sink)
-			: await this.#keyed.serve(request, sink);
+			: await this.#keyedRouter.serve(request, sink);
 		this.#record(request, outcome);
 	}
 
-	async #serveForwardedInto(keyed: KeyedRequest, parts: RunKeyParts, sink: AnswerSink): Promise<void> {
+	async #writeForwarded(keyed: KeyedRequest, parts: RunKeyParts, sink: AnswerSink): Promise<void> {
 		this.#inProgress++;
 		try {
 			const raw = {
 				method: keyed.method, url: keyed.url, headers: keyed.headers, body: Buffer.from(keyed.body, 'base64'),
 			};
 			const parsed = keyed.operation === 'plain'
-				? parsePlainCall(raw, this.#parseParts())
-				: await parseCompletion(raw, keyed.operation, this.#parseParts());
+				? parsePlainCall(raw, this.#createParseContext())
+				: await parseCompletion(raw, keyed.operation, this.#createParseContext());
 			if (parsed.isLeft()) {
 				sendFailure(sink, parsed.extract(), false);
 				return;
 			}
 
 			const request = parsed.extract() as CallerRequest;
-			this.#record(request, await this.#keyed.serveHere(request, parts, sink));
+			this.#record(request, await this.#keyedRouter.serveLocally(request, parts, sink));
 		} catch (error) {
 			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'a passed-on request failed');
-			sink.cut();
+			sink.abort();
 		} finally {
 			this.#inProgress--;
 		}
 	}
 
 	async #run(request: CallerRequest, sink: AnswerSink): Promise<RequestOutcome> {
-		this.#budget.addRequest();
-		const bound = new RequestBound(this.#parts.clock, request.deadline, sink.gone, this.#stopped.signal);
-		const parts = {...this.#parts, budget: this.#budget, estimator: this.#estimator};
+		this.#retryBudget.recordRequest();
+		const cancellation = new RequestCancellation(this.#parts.clock, request.deadline, sink.disconnected, this.#stopController.signal);
+		const parts = {...this.#parts, retryBudget: this.#retryBudget, estimator: this.#estimator};
 		try {
 			await this.#hashPrefixes(request);
 			const run = request.operation === 'plain'
-				? new PlainRun(parts, request, sink, bound)
-				: new CompletionRun(parts, request, sink, bound);
+				? new PlainRun(parts, request, sink, cancellation)
+				: new CompletionRun(parts, request, sink, cancellation);
 			return await run.run();
 		} finally {
-			bound.close();
+			cancellation.close();
 		}
 	}
 
 	async #hashPrefixes(request: CallerRequest): Promise<void> {
 		if (request.completion !== undefined) {
 			request.prefixes = this.#parts.hasher.hashPrompt(request.operation, request.completion, this.#estimator.readRatio(request.service));
-			await giveTurn(request.body.length);
+			await yieldToEventLoop(request.body.length);
 		}
 	}
 
@@ -219,14 +219,14 @@
 			return createFailure('node_busy', 'this node serves as many requests as it may; use another address');
 		}
 
-		if (this.#heldBytes + bodyLength > this.#parts.settings.heldBodiesMebibytes * bytesPerMebibyte) {
+		if (this.#bufferedBytes + bodyLength > this.#parts.settings.heldBodiesMebibytes * bytesPerMebibyte) {
 			return createFailure('node_busy', 'this node holds as many request bodies as it may; use another address');
 		}
 
 		return undefined;
 	}
 
-	#parseParts(): ParseParts {
+	#createParseContext(): ParseContext {
 		return {
 			clock: this.#parts.clock,
 			view: this.#parts.view,
@@ -238,10 +238,10 @@
 	#record(request: CallerRequest, outcome: RequestOutcome): void {
 		const {metrics, logger, clock} = this.#parts;
 		const lengthClass = findLengthClass(request.promptTokens);
-		if (outcome.firstToken !== undefined) {
-			metrics.recordTiming('first_token', outcome.firstToken, {service: request.service, length: lengthClass});
-			if (request.operation !== 'plain' && request.promptTokens <= longestShortPrompt) {
-				metrics.recordGauge('short_slowdown', this.#slowdowns.measure(request.service, request.promptTokens, outcome.firstToken), {service: request.service});
+		if (outcome.timeToFirstToken !== undefined) {
+			metrics.recordTiming('first_token', outcome.timeToFirstToken, {service: request.service, length: lengthClass});
+			if (request.operation !== 'plain' && request.promptTokens <= maxShortPromptTokens) {
+				metrics.recordGauge('short_slowdown', this.#slowdownTracker.measure(request.service, request.promptTokens, outcome.timeToFirstToken), {service: request.service});
 			}
 		}
 
@@ -256,8 +256,8 @@
 			service: request.service,
 			promptTokens: request.promptTokens,
 			outcome: outcome.failure?.kind ?? 'whole',
-			firstToken: outcome.firstToken === undefined ? undefined : Math.round(outcome.firstToken),
-			took: Math.round(clock.readMonotonic() - request.arrived),
+			firstToken: outcome.timeToFirstToken === undefined ? undefined : Math.round(outcome.timeToFirstToken),
+			took: Math.round(clock.readMonotonic() - request.arrivedAt),
 		}, 'request ended');
 	}
 }
--- a/src/node/entry/frame-sink.ts
+++ b/src/node/entry/frame-sink.ts
@@ -4,21 +4,21 @@
 import {AnswerSink} from './answer-sink.js';
 
 /** Frames held for a reader that is slower than the answer. */
-const mostHeld = 64;
+const maxQueuedFrames = 64;
 
 /** A sink that is read as a sequence of frames. */
 export class FrameSink extends AnswerSink {
 	readonly #frames: AnswerFrame[] = [];
-	readonly #gone: AbortSignal;
+	readonly #disconnected: AbortSignal;
 	#hasStarted = false;
 	#hasEnded = false;
 	#wakeReader: (() => void) | undefined;
 	#wakeWriter: (() => void) | undefined;
 
-	constructor(gone: AbortSignal) {
+	constructor(disconnected: AbortSignal) {
 		super();
-		this.#gone = gone;
-		gone.addEventListener('abort', () => {
+		this.#disconnected = disconnected;
+		disconnected.addEventListener('abort', () => {
 			this.#wakeReader?.();
 			this.#wakeWriter?.();
 		}, {once: true});
@@ -28,8 +28,8 @@
 		return this.#hasStarted;
 	}
 
-	override get gone(): AbortSignal {
-		return this.#gone;
+	override get disconnected(): AbortSignal {
+		return this.#disconnected;
 	}
 
 	override start(head: AnswerHead): void {
@@ -38,15 +38,15 @@
 	}
 
 	override get isFull(): boolean {
-		return this.#frames.length > mostHeld && !this.#gone.aborted;
+		return this.#frames.length > maxQueuedFrames && !this.#disconnected.aborted;
 	}
 
-	override write(piece: string | Uint8Array): void {
-		const bytes = typeof piece === 'string' ? Buffer.from(piece) : Buffer.from(piece.buffer, piece.byteOffset, piece.byteLength);
+	override write(chunk: string | Uint8Array): void {
+		const bytes = typeof chunk === 'string' ? Buffer.from(chunk) : Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength);
 		this.#push({kind: 'body', body: bytes.toString('base64')});
 	}
 
-	override async waitForRoom(): Promise<void> {
+	override async waitForDrain(): Promise<void> {
 		if (this.isFull) {
 			await new Promise<void>(resolve => {
 				this.#wakeWriter = resolve;
@@ -59,7 +59,7 @@
 		this.#push({kind: 'end'});
 	}
 
-	override cut(): void {
+	override abort(): void {
 		this.#hasEnded = true;
 		this.#push({kind: 'cut'});
 	}
@@ -75,7 +75,7 @@
 			if (frame !== undefined) {
 				this.#wakeWriter?.();
 				yield frame;
-			} else if (this.#hasEnded || this.#gone.aborted) {
+			} else if (this.#hasEnded || this.#disconnected.aborted) {
 				return;
 			} else {
 				await new Promise<void>(resolve => {
--- a/src/node/entry/grant-client.ts
+++ b/src/node/entry/grant-client.ts
@@ -7,20 +7,20 @@
 import type {CallerRequest} from './caller-request.js';
 
 /** Whom to ask about a pool. */
-export type AskedNode = {
+export type AdmissionTarget = {
 	pool: PoolId;
 	/** Ask the node that stands in for the holder, in case the holder is dead and the platform down. */
 	isStandIn: boolean;
 };
 
 /** The dispatchers as an entry reaches them, wherever they run. */
-export abstract class DispatcherGateway {
+export abstract class DispatcherClient {
 	/**
 	 * Asks the pool's dispatcher, or the node that would stand in for it.
 	 *
 	 * Fails with `no_dispatcher` when that one does not decide or cannot be reached; nothing ran then.
 	 */
-	abstract admit(request: AdmitRequest, asked: AskedNode, signal: AbortSignal): Promise<Either<Failure, Grant>>;
+	abstract admit(request: AdmitRequest, target: AdmissionTarget, signal: AbortSignal): Promise<Either<Failure, Grant>>;
 
 	/** Delivers a heartbeat. */
 	abstract sendHeartbeat(heartbeat: Heartbeat): Promise<Either<Failure, true>>;
@@ -33,7 +33,7 @@
 	usableUntil: number;
 };
 
-const askAgainDelay = 50;
+const retryDelay = 50;
 /** Milliseconds between heartbeats while grants are held; half the messages of a second's, and orphans still back within 10 s. */
 const heartbeatInterval = 2000;
 
@@ -44,22 +44,22 @@
 	active: Map<GrantId, Grant>;
 	released: GrantId[];
 	/** Monotonic time of the last heartbeat that arrived. */
-	lastSent: number;
+	lastSentAt: number;
 };
 
 /** The grants of one entry. */
 export class GrantClient extends Child {
 	override readonly name = 'grant-client';
-	readonly #gateway: DispatcherGateway;
+	readonly #dispatchers: DispatcherClient;
 	readonly #clock: Clock;
 	readonly #entry: Incarnation;
 	readonly #entryUrl: string;
 	readonly #accounts = new Map<PoolId, PoolAccount>();
 	#wake: (() => void) | undefined;
 
-	constructor(gateway: DispatcherGateway, clock: Clock, entry: Incarnation, entryUrl: string) {
+	constructor(dispatchers: DispatcherClient, clock: Clock, entry: Incarnation, entryUrl: string) {
 		super();
-		this.#gateway = gateway;
+		this.#dispatchers = dispatchers;
 		this.#clock = clock;
 		this.#entry = entry;
 		this.#entryUrl = entryUrl;
@@ -70,10 +70,10 @@
 		let failure = createFailure('no_dispatcher', `no node decides for ${request.pool} at present`);
 		// Each ask has a time of its own: a grant's life counts from before the ask that brought it.
 		for (let isStandIn = false; !signal.aborted; isStandIn = !isStandIn) {
-			const asked = this.#clock.readMonotonic();
-			const result = await this.#gateway.admit(this.#describe(request, attemptId, excluded, asked), {pool: request.pool, isStandIn}, signal);
+			const requestedAt = this.#clock.readMonotonic();
+			const result = await this.#dispatchers.admit(this.#createAdmitRequest(request, attemptId, excluded, requestedAt), {pool: request.pool, isStandIn}, signal);
 			if (result.isRight()) {
-				const held = this.#take(result.extract(), asked);
+				const held = this.#recordGrant(result.extract(), requestedAt);
 				if (this.#clock.readMonotonic() <= held.usableUntil) {
 					return Right(held);
 				}
@@ -87,7 +87,7 @@
 				return Left(failure);
 			}
 
-			await waitFor(this.#clock, askAgainDelay, signal);
+			await waitFor(this.#clock, retryDelay, signal);
 		}
 
 		return Left(failure);
@@ -117,7 +117,7 @@
 		}
 	}
 
-	#describe(request: CallerRequest, attemptId: RequestId, excluded: BackendServerId[], now: number): AdmitRequest {
+	#createAdmitRequest(request: CallerRequest, attemptId: RequestId, excluded: BackendServerId[], now: number): AdmitRequest {
 		return {
 			requestId: attemptId,
 			organisation: request.organisation,
@@ -131,15 +131,15 @@
 		};
 	}
 
-	#take(grant: Grant, asked: number): HeldGrant {
+	#recordGrant(grant: Grant, requestedAt: number): HeldGrant {
 		this.#findAccount(grant.pool).active.set(grant.grantId, grant);
-		return {grant, usableUntil: asked + grant.usableFor};
+		return {grant, usableUntil: requestedAt + grant.usableFor};
 	}
 
 	#findAccount(pool: PoolId): PoolAccount {
 		let account = this.#accounts.get(pool);
 		if (account === undefined) {
-			account = {active: new Map(), released: [], lastSent: 0};
+			account = {active: new Map(), released: [], lastSentAt: 0};
 			this.#accounts.set(pool, account);
 		}
 
@@ -166,13 +166,13 @@
 	async #sendHeartbeat(pool: PoolId): Promise<void> {
 		const account = this.#findAccount(pool);
 		const now = this.#clock.readMonotonic();
-		const isDue = account.active.size > 0 && now - account.lastSent >= heartbeatInterval;
+		const isDue = account.active.size > 0 && now - account.lastSentAt >= heartbeatInterval;
 		if (account.released.length === 0 && !isDue) {
 			return;
 		}
 
 		const released = account.released.splice(0);
-		const result = await this.#gateway.sendHeartbeat({
+		const result = await this.#dispatchers.sendHeartbeat({
 			pool, entry: this.#entry, entryUrl: this.#entryUrl, released, activeCount: account.active.size,
 		});
 		if (result.isLeft()) {
@@ -181,6 +181,6 @@
 			return;
 		}
 
-		account.lastSent = now;
+		account.lastSentAt = now;
 	}
 }
--- a/src/node/entry/keyed-router.ts
+++ b/src/node/entry/keyed-router.ts
@@ -14,31 +14,31 @@
 import type {Members} from '../membership/members.js';
 import {boundHeader} from './headers.js';
 import {sendFailure, type AnswerSink} from './answer-sink.js';
-import {BoundedSink} from './bounded-sink.js';
+import {DeadlineSink} from './deadline-sink.js';
 import type {Recording} from './recording.js';
 import type {CallerRequest, RequestOutcome} from './caller-request.js';
 import type {RunKeyStore} from './run-keys.js';
 
 /** What the router needs. */
 export type KeyedRouterParts = {
-	store: RunKeyStore;
+	runKeys: RunKeyStore;
 	members: Members;
 	clients: NodeClients;
-	self: Incarnation;
+	ownIncarnation: Incarnation;
 	/** Runs a request and writes its answer into the sink. */
 	runRequest: (request: CallerRequest, sink: AnswerSink) => Promise<RequestOutcome>;
 };
 
-const askTimeout = 1000;
+const ownerQueryTimeout = 1000;
 
 /** Nodes asked whether they answer for an incarnation that has ended. */
-const mostSuccessorsAsked = 5;
+const maxSuccessorQueries = 5;
 
 /** Time a silent owner is waited for beyond the request's own bound, in milliseconds. */
 const forwardMargin = 250;
 
 /** How passing a request to another node ended. */
-type ForwardEnd = 'answered' | 'not_owner' | 'unreachable';
+type ForwardResult = 'answered' | 'not_owner' | 'unreachable';
 
 /** Routes requests with run keys. */
 export class KeyedRouter {
@@ -56,29 +56,29 @@
 		}
 
 		const parts = parsed.extract() as RunKeyParts;
-		return this.#parts.store.answersFor(parts.incarnation)
-			? this.serveHere(request, parts, sink)
-			: this.#serveElsewhere(request, parts, sink);
+		return this.#parts.runKeys.answersFor(parts.incarnation)
+			? this.serveLocally(request, parts, sink)
+			: this.#serveRemotely(request, parts, sink);
 	}
 
 	/** Serves a request whose key this process answers for. */
-	async serveHere(request: CallerRequest, parts: RunKeyParts, sink: AnswerSink): Promise<RequestOutcome> {
-		const verdict = this.#parts.store.claim(request.organisation, request.runKey!, parts, computeFingerprint(request));
-		if (verdict.isLeft()) {
-			return this.#fail(request, sink, verdict.extract());
+	async serveLocally(request: CallerRequest, parts: RunKeyParts, sink: AnswerSink): Promise<RequestOutcome> {
+		const claim = this.#parts.runKeys.claim(request.organisation, request.runKey!, parts, computeFingerprint(request));
+		if (claim.isLeft()) {
+			return this.#fail(request, sink, claim.extract());
 		}
 
-		const {kind, recording} = verdict.extract() as Exclude<ReturnType<typeof verdict.extract>, Failure>;
-		if (kind === 'play') {
-			return this.#follow(request, recording, sink);
+		const {kind, recording} = claim.extract() as Exclude<ReturnType<typeof claim.extract>, Failure>;
+		if (kind === 'replay') {
+			return this.#replayRecording(request, recording, sink);
 		}
 
-		const [outcome] = await Promise.all([this.#runRecorded(request, recording), recording.playInto(sink)]);
+		const [outcome] = await Promise.all([this.#runRecorded(request, recording), recording.replayInto(sink)]);
 		if (outcome.failure !== undefined && findAnswer(outcome.failure).ran === 'no') {
-			this.#parts.store.forget(request.organisation, request.runKey!);
+			this.#parts.runKeys.release(request.organisation, request.runKey!);
 		}
 
-		this.#parts.store.trim();
+		this.#parts.runKeys.trim();
 		return outcome;
 	}
 
@@ -94,27 +94,27 @@
 	}
 
 	/** Plays what another caller's run records; a caller whose own bound is shorter hears so at its bound. */
-	async #follow(request: CallerRequest, recording: Recording, sink: AnswerSink): Promise<RequestOutcome> {
+	async #replayRecording(request: CallerRequest, recording: Recording, sink: AnswerSink): Promise<RequestOutcome> {
 		const {clock} = this.#parts.clients;
 		const limit = createTimeout(clock, request.deadline - clock.readMonotonic());
-		const bounded = new BoundedSink(sink, limit.signal);
-		await recording.playInto(bounded);
+		const deadlineSink = new DeadlineSink(sink, limit.signal);
+		await recording.replayInto(deadlineSink);
 		limit.cancel();
-		return limit.signal.aborted && !bounded.hasEnded
+		return limit.signal.aborted && !deadlineSink.hasEnded
 			? this.#fail(request, sink, createFailure('bound_passed_running', 'the time bound passed while the request ran; send the same key again for its outcome', {ran: 'maybe'}))
 			: {};
 	}
 
-	async #serveElsewhere(request: CallerRequest, parts: RunKeyParts, sink: AnswerSink): Promise<RequestOutcome> {
+	async #serveRemotely(request: CallerRequest, parts: RunKeyParts, sink: AnswerSink): Promise<RequestOutcome> {
 		const {members} = this.#parts;
 		// Asked also when this node's view does not know it: the view may lag behind a new node's registration.
-		const end = await this.#forward(parts.url, request, sink);
-		if (end === 'answered') {
+		const result = await this.#forward(parts.url, request, sink);
+		if (result === 'answered') {
 			return {};
 		}
 
 		// Silence proves nothing; another process at the address, or a box gone from the platform's lists, does.
-		const hasEnded = end === 'not_owner' || members.isDropped(parts.incarnation);
+		const hasEnded = result === 'not_owner' || members.isDropped(parts.incarnation);
 		const successor = await this.#findSuccessor(parts.incarnation);
 		if (successor !== undefined && await this.#forward(successor, request, sink) === 'answered') {
 			return {};
@@ -122,35 +122,35 @@
 
 		return hasEnded && successor === undefined
 			? this.#fail(request, sink, createFailure('outcome_unknown', 'the node that owned this key has ended; whether the request ran is not known, and it is not run again'))
-			: this.#fail(request, sink, createUnreachable());
+			: this.#fail(request, sink, createUnreachableFailure());
 	}
 
 	/** Passes the request on and plays the answer into the sink. */
-	async #forward(url: string, request: CallerRequest, sink: AnswerSink): Promise<ForwardEnd> {
+	async #forward(url: string, request: CallerRequest, sink: AnswerSink): Promise<ForwardResult> {
 		const limit = new AbortController();
 		const stop = () => {
 			limit.abort();
 		};
 
 		const timer = this.#parts.clients.clock.setTimer(request.deadline - this.#parts.clients.clock.readMonotonic() + forwardMargin, stop);
-		sink.gone.addEventListener('abort', stop, {once: true});
+		sink.disconnected.addEventListener('abort', stop, {once: true});
 		try {
 			const frames = await this.#parts.clients.findClient(url).runKeyed.mutate(this.#encode(request), {signal: limit.signal}) as AsyncIterable<AnswerFrame>;
-			return await playFrames(frames, sink);
+			return await writeFrames(frames, sink);
 		} catch {
-			return await this.#endBroken(request, sink);
+			return await this.#endBrokenForward(request, sink);
 		} finally {
 			timer.cancel();
-			sink.gone.removeEventListener('abort', stop);
+			sink.disconnected.removeEventListener('abort', stop);
 		}
 	}
 
-	async #endBroken(request: CallerRequest, sink: AnswerSink): Promise<ForwardEnd> {
+	async #endBrokenForward(request: CallerRequest, sink: AnswerSink): Promise<ForwardResult> {
 		if (!sink.hasStarted) {
 			return 'unreachable';
 		}
 
-		await this.#fail(request, sink, createUnreachable());
+		await this.#fail(request, sink, createUnreachableFailure());
 		return 'answered';
 	}
 
@@ -168,10 +168,10 @@
 	}
 
 	async #findSuccessor(incarnation: Incarnation): Promise<string | undefined> {
-		const others = this.#parts.members.listAll().filter(member => member.incarnation !== this.#parts.self && member.incarnation !== incarnation);
-		const asked = orderByRendezvous(incarnation, others, member => member.box).slice(0, mostSuccessorsAsked);
-		const answers = await Promise.all(asked.map(async member => {
-			const answer = await this.#parts.clients.ask(member.nodeUrl, askTimeout, async (client, signal) => client.answersFor.query({incarnation}, {signal}));
+		const others = this.#parts.members.listAll().filter(member => member.incarnation !== this.#parts.ownIncarnation && member.incarnation !== incarnation);
+		const candidates = orderByRendezvous(incarnation, others, member => member.box).slice(0, maxSuccessorQueries);
+		const answers = await Promise.all(candidates.map(async member => {
+			const answer = await this.#parts.clients.ask(member.nodeUrl, ownerQueryTimeout, async (client, signal) => client.answersFor.query({incarnation}, {signal}));
 			return answer?.isOwner ? member.nodeUrl : undefined;
 		}));
 		return answers.find(url => url !== undefined);
@@ -183,7 +183,7 @@
 	}
 }
 
-async function playFrames(frames: AsyncIterable<AnswerFrame>, sink: AnswerSink): Promise<ForwardEnd> {
+async function writeFrames(frames: AsyncIterable<AnswerFrame>, sink: AnswerSink): Promise<ForwardResult> {
 	for await (const frame of frames) {
 		switch (frame.kind) {
 			case 'head': {
@@ -193,7 +193,7 @@
 
 			case 'body': {
 				sink.write(Buffer.from(frame.body, 'base64'));
-				await sink.waitForRoom();
+				await sink.waitForDrain();
 				break;
 			}
 
@@ -203,7 +203,7 @@
 			}
 
 			case 'cut': {
-				sink.cut();
+				sink.abort();
 				return 'answered';
 			}
 
@@ -221,6 +221,6 @@
 	return createHash('sha256').update(`${request.method} ${request.path}\n`).update(request.body).digest('hex');
 }
 
-function createUnreachable(): Failure {
+function createUnreachableFailure(): Failure {
 	return createFailure('owner_unreachable', 'the node that owns this key does not answer at present; try again with the same key');
 }
--- a/src/node/entry/large-body.ts
+++ b/src/node/entry/large-body.ts
@@ -5,27 +5,27 @@
  * milliseconds each; done in one go they held every stream of the node for 55 ms.
  */
 import {Buffer} from 'node:buffer';
-import {setImmediate as waitForTurn} from 'node:timers/promises';
+import {setImmediate as waitForNextTurn} from 'node:timers/promises';
 import {type Either, Left, Right} from 'purify-ts';
 import {createFailure, type Failure} from '../../common/index.js';
 
 /** Bodies up to this many bytes are done in one go. */
-const largestSmallBody = 262_144;
+const yieldThresholdBytes = 262_144;
 
 /** Lets other work have a turn, if the body is large. */
-export async function giveTurn(bodyLength: number): Promise<void> {
-	if (bodyLength > largestSmallBody) {
-		await waitForTurn();
+export async function yieldToEventLoop(bodyLength: number): Promise<void> {
+	if (bodyLength > yieldThresholdBytes) {
+		await waitForNextTurn();
 	}
 }
 
 /** Parses a JSON body. */
 export async function parseJsonBody(body: Uint8Array): Promise<Either<Failure, unknown>> {
 	const text = Buffer.from(body.buffer, body.byteOffset, body.byteLength).toString();
-	await giveTurn(body.length);
+	await yieldToEventLoop(body.length);
 	try {
 		const value: unknown = JSON.parse(text);
-		await giveTurn(body.length);
+		await yieldToEventLoop(body.length);
 		return Right(value);
 	} catch {
 		return Left(createFailure('invalid_json', 'the body is not valid JSON'));
--- a/src/node/entry/length-class.ts
+++ b/src/node/entry/length-class.ts
@@ -15,10 +15,10 @@
 }
 
 /** Tokens up to which a prompt counts as short. */
-export const longestShortPrompt = 8000;
+export const maxShortPromptTokens = 8000;
 
 /** Share by which the baseline rises with each request, so that it follows a service that has become slower. */
-const baselineRise = 0.001;
+const baselineGrowth = 0.001;
 
 /** Follows how much slower than undisturbed short requests are. */
 export class SlowdownTracker {
@@ -28,7 +28,7 @@
 	measure(service: string, promptTokens: number, firstToken: number): number {
 		const key = `${service}/${findLengthClass(promptTokens)}`;
 		const known = this.#baselines.get(key) ?? firstToken;
-		const baseline = Math.max(1, Math.min(firstToken, known * (1 + baselineRise)));
+		const baseline = Math.max(1, Math.min(firstToken, known * (1 + baselineGrowth)));
 		this.#baselines.set(key, baseline);
 		return Math.max(1, firstToken / baseline);
 	}
--- a/src/node/entry/parse-request.ts
+++ b/src/node/entry/parse-request.ts
@@ -22,15 +22,15 @@
 };
 
 /** What parsing needs to know. */
-export type ParseParts = {
+export type ParseContext = {
 	clock: Clock;
 	view: FleetView;
 	estimator: TokenEstimator;
 	createRequestId(): RequestId;
 };
 
-const passedHeaders = ['accept', 'accept-language', 'content-type'];
-const forwardedHeaders = [...passedHeaders, 'authorization', boundHeader, notRepeatableHeader, runKeyHeader];
+const plainServiceHeaders = ['accept', 'accept-language', 'content-type'];
+const forwardedHeaders = [...plainServiceHeaders, 'authorization', boundHeader, notRepeatableHeader, runKeyHeader];
 const repeatableMethods = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
 
 const positiveInteger = z.int().positive().nullish();
@@ -60,7 +60,7 @@
 }
 
 /** Checks a completion request. */
-export async function parseCompletion(raw: RawRequest, operation: 'chat' | 'text', parts: ParseParts): Promise<Either<Failure, CallerRequest>> {
+export async function parseCompletion(raw: RawRequest, operation: 'chat' | 'text', parts: ParseContext): Promise<Either<Failure, CallerRequest>> {
 	const authenticated = authenticate(raw.headers, parts.view);
 	if (authenticated.isLeft()) {
 		// Nothing is done for a stranger's body, however large.
@@ -77,7 +77,7 @@
 }
 
 /** Checks a call on a plain service. */
-export function parsePlainCall(raw: RawRequest, parts: ParseParts): Either<Failure, CallerRequest> {
+export function parsePlainCall(raw: RawRequest, parts: ParseContext): Either<Failure, CallerRequest> {
 	return authenticate(raw.headers, parts.view).chain(organisation => {
 		const name = findServiceByPath(raw.url, parts.view);
 		if (name === undefined) {
@@ -121,7 +121,7 @@
 		: Left(createFailure('service_forbidden', `organisation '${organisation.name}' may not use '${name}'; ask your operators to add it to the organisation's services`));
 }
 
-type RequestParts = {
+type ResolvedRequest = {
 	raw: RawRequest;
 	operation: Operation;
 	organisation: Entry<'Organisation'>;
@@ -129,10 +129,10 @@
 	completion: CompletionBody | undefined;
 };
 
-function buildRequest({raw, operation, organisation, service, completion}: RequestParts, parts: ParseParts): Either<Failure, CallerRequest> {
-	return parseBound(raw.headers, service).chain(bound => parseMarks(raw, operation).map(marks => {
+function buildRequest({raw, operation, organisation, service, completion}: ResolvedRequest, parts: ParseContext): Either<Failure, CallerRequest> {
+	return parseTimeBound(raw.headers, service).chain(bound => parseRunFlags(raw, operation).map(flags => {
 		const name = service.name as ServiceName;
-		const arrived = parts.clock.readMonotonic();
+		const arrivedAt = parts.clock.readMonotonic();
 		const requestId = parts.createRequestId();
 		return {
 			requestId,
@@ -143,21 +143,21 @@
 			operation,
 			method: raw.method,
 			path: raw.url,
-			headers: operation === 'plain' ? buildHeaders(raw, requestId, organisation.name, marks.runKey) : {},
+			headers: operation === 'plain' ? buildHeaders(raw, requestId, organisation.name, flags.runKey) : {},
 			rawHeaders: pickHeaders(raw.headers, forwardedHeaders),
 			body: raw.body,
 			completion,
 			promptTokens: operation === 'plain' ? 1 : parts.estimator.estimate(name, raw.body.length),
 			prefixes: noPrefixes,
 			outputTokens: operation === 'plain' ? 0 : countOutputTokens(completion, service),
-			arrived,
-			deadline: arrived + bound,
-			...marks,
+			arrivedAt,
+			deadline: arrivedAt + bound,
+			...flags,
 		};
 	}));
 }
 
-function parseBound(headers: IncomingHttpHeaders, service: Entry<'Service'>): Either<Failure, number> {
+function parseTimeBound(headers: IncomingHttpHeaders, service: Entry<'Service'>): Either<Failure, number> {
 	const text = headers[boundHeader];
 	if (text === undefined) {
 		return Right(service.defaultBound);
@@ -169,19 +169,19 @@
 		: Left(createFailure('invalid_time_bound', `${boundHeader} is '${String(text)}'; write whole milliseconds from 1 to ${service.longestBound}`));
 }
 
-function parseMarks(raw: RawRequest, operation: Operation): Either<Failure, {isRepeatable: boolean; runKey: RunKey | undefined}> {
+function parseRunFlags(raw: RawRequest, operation: Operation): Either<Failure, {isRepeatable: boolean; runKey: RunKey | undefined}> {
 	const runKey = raw.headers[runKeyHeader] as RunKey | undefined;
-	const mark = raw.headers[notRepeatableHeader];
-	if (mark !== undefined && mark !== 'true' && mark !== 'false') {
-		return Left(createFailure('invalid_request', `${notRepeatableHeader} is '${String(mark)}'; write true or false`));
+	const notRepeatable = raw.headers[notRepeatableHeader];
+	if (notRepeatable !== undefined && notRepeatable !== 'true' && notRepeatable !== 'false') {
+		return Left(createFailure('invalid_request', `${notRepeatableHeader} is '${String(notRepeatable)}'; write true or false`));
 	}
 
 	const isRepeatable = operation !== 'plain' || repeatableMethods.has(raw.method);
-	return Right({isRepeatable: isRepeatable && mark !== 'true' && runKey === undefined, runKey});
+	return Right({isRepeatable: isRepeatable && notRepeatable !== 'true' && runKey === undefined, runKey});
 }
 
 function buildHeaders(raw: RawRequest, requestId: RequestId, organisation: string, runKey: RunKey | undefined): Record<string, string> {
-	const headers = {...pickHeaders(raw.headers, passedHeaders), 'x-request-id': requestId, 'x-organisation': organisation};
+	const headers = {...pickHeaders(raw.headers, plainServiceHeaders), 'x-request-id': requestId, 'x-organisation': organisation};
 	return runKey === undefined ? headers : {...headers, 'idempotency-key': runKey};
 }
 
--- a/src/node/entry/plain-run.ts
+++ b/src/node/entry/plain-run.ts
@@ -7,7 +7,7 @@
 import {sendFailure, type AnswerSink} from './answer-sink.js';
 import {formatAttemptId, type CallerRequest, type RequestOutcome} from './caller-request.js';
 import type {GrantClient, HeldGrant} from './grant-client.js';
-import type {RequestBound} from './request-bound.js';
+import type {RequestCancellation} from './request-cancellation.js';
 import type {RetryBudget} from './retry-budget.js';
 
 /** What runs need from the entry. */
@@ -17,12 +17,12 @@
 	metrics: Metrics;
 	plain: PlainClient;
 	grants: GrantClient;
-	budget: RetryBudget;
+	retryBudget: RetryBudget;
 };
 
-const mostAttempts = 3;
+const maxAttempts = 3;
 
-type CallEnd =
+type CallResult =
 	| {kind: 'finished'}
 	/** Nothing was sent: free to go elsewhere. */
 	| {kind: 'unsent'; failure: Failure}
@@ -34,15 +34,15 @@
 	readonly #parts: PlainRunParts;
 	readonly #request: CallerRequest;
 	readonly #sink: AnswerSink;
-	readonly #bound: RequestBound;
+	readonly #cancellation: RequestCancellation;
 	readonly #excluded: BackendServerId[] = [];
-	#firstByte: number | undefined;
+	#timeToFirstByte: number | undefined;
 
-	constructor(parts: PlainRunParts, request: CallerRequest, sink: AnswerSink, bound: RequestBound) {
+	constructor(parts: PlainRunParts, request: CallerRequest, sink: AnswerSink, cancellation: RequestCancellation) {
 		this.#parts = parts;
 		this.#request = request;
 		this.#sink = sink;
-		this.#bound = bound;
+		this.#cancellation = cancellation;
 	}
 
 	/** Serves the call; the sink has been ended when this resolves. */
@@ -52,34 +52,34 @@
 			sendFailure(this.#sink, failure, false);
 		}
 
-		return {failure, firstToken: this.#firstByte};
+		return {failure, timeToFirstToken: this.#timeToFirstByte};
 	}
 
 	async #tryServers(): Promise<Failure | undefined> {
-		let hasRun = false;
+		let mayHaveRun = false;
 		for (let attempt = 1; ; attempt++) {
 			const attemptId = formatAttemptId(this.#request.requestId, attempt);
-			const obtained = await this.#parts.grants.obtain(this.#request, attemptId, this.#excluded, this.#bound.signal);
+			const obtained = await this.#parts.grants.obtain(this.#request, attemptId, this.#excluded, this.#cancellation.signal);
 			if (obtained.isLeft()) {
-				const failure = this.#bound.findFailure(hasRun) ?? obtained.extract();
-				return hasRun ? {...failure, ran: 'maybe'} : failure;
+				const failure = this.#cancellation.findFailure(mayHaveRun) ?? obtained.extract();
+				return mayHaveRun ? {...failure, ran: 'maybe'} : failure;
 			}
 
 			const {grant, usableUntil} = obtained.extract() as HeldGrant;
-			const end = await this.#callServer(grant, usableUntil);
+			const result = await this.#callServer(grant, usableUntil);
 			this.#parts.grants.release(grant);
-			if (end.kind === 'finished') {
+			if (result.kind === 'finished') {
 				return undefined;
 			}
 
-			hasRun ||= end.kind === 'lost';
-			if (this.#bound.signal.aborted) {
-				return this.#bound.findFailure(hasRun);
+			mayHaveRun ||= result.kind === 'lost';
+			if (this.#cancellation.signal.aborted) {
+				return this.#cancellation.findFailure(mayHaveRun);
 			}
 
-			const mayRepeat = end.kind === 'unsent' || (this.#request.isRepeatable && !this.#sink.hasStarted);
-			if (!mayRepeat || attempt >= mostAttempts || !this.#parts.budget.takeRetry()) {
-				return hasRun && end.kind === 'unsent' ? {...end.failure, ran: 'maybe'} : end.failure;
+			const mayRepeat = result.kind === 'unsent' || (this.#request.isRepeatable && !this.#sink.hasStarted);
+			if (!mayRepeat || attempt >= maxAttempts || !this.#parts.retryBudget.takeRetry()) {
+				return mayHaveRun && result.kind === 'unsent' ? {...result.failure, ran: 'maybe'} : result.failure;
 			}
 
 			this.#parts.metrics.incrementCounter('retries', {service: this.#request.service});
@@ -87,7 +87,7 @@
 		}
 	}
 
-	async #callServer(grant: Grant, usableUntil: number): Promise<CallEnd> {
+	async #callServer(grant: Grant, usableUntil: number): Promise<CallResult> {
 		if (this.#parts.clock.readMonotonic() > usableUntil) {
 			return {kind: 'unsent', failure: createFailure('no_dispatcher', 'the grant arrived too late to be used')};
 		}
@@ -97,10 +97,10 @@
 			url: `${grant.url}${this.#request.path}`,
 			headers: this.#request.headers,
 			body: this.#request.body.length === 0 ? undefined : this.#request.body,
-			signal: this.#bound.signal,
+			signal: this.#cancellation.signal,
 		});
 		if (answer.isRight()) {
-			return this.#passAnswer(answer.extract());
+			return this.#forwardAnswer(answer.extract());
 		}
 
 		const failure = answer.extract() as BackendFailure;
@@ -109,16 +109,16 @@
 			: {kind: 'lost', failure: createFailure('backend_unconfirmed', 'the backend server was lost before it answered; the call may have run')};
 	}
 
-	async #passAnswer(answer: PlainAnswer): Promise<CallEnd> {
+	async #forwardAnswer(answer: PlainAnswer): Promise<CallResult> {
 		if (answer.requestId !== undefined && answer.requestId !== this.#request.requestId) {
 			return {kind: 'lost', failure: createFailure('answer_crossed', 'the backend server answered another request; this one may have run', {ran: 'maybe'})};
 		}
 
 		try {
-			for await (const piece of answer.body) {
+			for await (const chunk of answer.body) {
 				this.#startOnce(answer);
-				this.#sink.write(piece);
-				await this.#sink.waitForRoom();
+				this.#sink.write(chunk);
+				await this.#sink.waitForDrain();
 			}
 		} catch {
 			return {kind: 'lost', failure: createFailure(this.#sink.hasStarted ? 'backend_lost' : 'backend_unconfirmed', 'the backend server was lost in the middle of the answer')};
@@ -134,7 +134,7 @@
 			return;
 		}
 
-		this.#firstByte = this.#parts.clock.readMonotonic() - this.#request.arrived;
+		this.#timeToFirstByte = this.#parts.clock.readMonotonic() - this.#request.arrivedAt;
 		const headers: Record<string, string> = {'x-request-id': this.#request.requestId, 'x-cresshook-ran': 'yes'};
 		if (answer.contentType !== undefined) {
 			headers['content-type'] = answer.contentType;
--- a/src/node/entry/prompt-prefixes.ts
+++ b/src/node/entry/prompt-prefixes.ts
@@ -10,8 +10,8 @@
 import type {PromptPrefixes} from '../dispatch/index.js';
 import type {CompletionBody, Operation} from './caller-request.js';
 
-const shortestPrefix = 1024;
-const longestPrefix = 1_048_576;
+const minPrefixBytes = 1024;
+const maxPrefixBytes = 1_048_576;
 const hashRadix = 36;
 
 /** Hashes prefixes. Made once a process, since its code has to be loaded. */
@@ -29,34 +29,34 @@
 
 	/** Hashes the prefixes of a completion's prompt; tokens are estimated at a ratio of tokens a byte. */
 	hashPrompt(operation: Operation, body: CompletionBody, tokensPerByte: number): PromptPrefixes {
-		const bytes = Buffer.from(readBeginning(operation, body));
+		const bytes = Buffer.from(extractPromptStart(operation, body));
 		const hashes: string[] = [];
 		let seed = 0n;
 		let start = 0;
-		for (let end = shortestPrefix; end <= Math.min(bytes.length, longestPrefix); end *= 2) {
+		for (let end = minPrefixBytes; end <= Math.min(bytes.length, maxPrefixBytes); end *= 2) {
 			seed = this.#api.h64Raw(bytes.subarray(start, end), seed);
 			hashes.push(seed.toString(hashRadix));
 			start = end;
 		}
 
-		return {hashes, firstTokens: Math.floor(shortestPrefix * tokensPerByte)};
+		return {hashes, firstTokens: Math.floor(minPrefixBytes * tokensPerByte)};
 	}
 }
 
 /** The beginning of a prompt as one text, no longer than the longest prefix needs. */
-function readBeginning(operation: Operation, body: CompletionBody): string {
+function extractPromptStart(operation: Operation, body: CompletionBody): string {
 	if (operation === 'text') {
-		return (typeof body.prompt === 'string' ? body.prompt : JSON.stringify(body.prompt)).slice(0, longestPrefix);
+		return (typeof body.prompt === 'string' ? body.prompt : JSON.stringify(body.prompt)).slice(0, maxPrefixBytes);
 	}
 
 	let text = '';
 	for (const message of body.messages as Array<{role?: unknown; content?: unknown}>) {
 		const content = typeof message.content === 'string' ? message.content : JSON.stringify(message.content ?? '');
-		text += `${String(message.role)}\n${content.slice(0, longestPrefix)}\n`;
-		if (text.length >= longestPrefix) {
+		text += `${String(message.role)}\n${content.slice(0, maxPrefixBytes)}\n`;
+		if (text.length >= maxPrefixBytes) {
 			break;
 		}
 	}
 
-	return text.slice(0, longestPrefix);
+	return text.slice(0, maxPrefixBytes);
 }
--- a/src/node/entry/recording.ts
+++ b/src/node/entry/recording.ts
@@ -6,26 +6,26 @@
 /** Records an answer and plays it, also while it is still being made. */
 export class Recording extends AnswerSink {
 	/** Rebuilds a recording that another node passed on. */
-	static fromStored(stored: StoredAnswer): Recording {
+	static restore(stored: StoredAnswer): Recording {
 		const recording = new Recording();
 		recording.#head = stored.head;
 		recording.#state = stored.wasCut ? 'cut' : 'ended';
-		recording.#isDropped = stored.body === undefined;
+		recording.#isBodyDropped = stored.body === undefined;
 		const body = Buffer.from(stored.body ?? '', 'base64');
-		recording.#pieces.push(body);
+		recording.#chunks.push(body);
 		recording.#size = body.length;
 		return recording;
 	}
 
 	/** A recorded run goes on without its caller, who may come back for the outcome. */
-	override readonly gone = new AbortController().signal;
-	readonly #pieces: Uint8Array[] = [];
-	readonly #waiting = new Set<() => void>();
+	override readonly disconnected = new AbortController().signal;
+	readonly #chunks: Uint8Array[] = [];
+	readonly #waitingReaders = new Set<() => void>();
 	#head: AnswerHead | undefined;
 	#state: 'open' | 'ended' | 'cut' = 'open';
 	#size = 0;
-	#isDropped = false;
-	#followers = 0;
+	#isBodyDropped = false;
+	#readerCount = 0;
 
 	override get hasStarted(): boolean {
 		return this.#head !== undefined;
@@ -37,13 +37,13 @@
 	}
 
 	/** Whether only the fact of the answer is kept. */
-	get isDropped(): boolean {
-		return this.#isDropped;
+	get isBodyDropped(): boolean {
+		return this.#isBodyDropped;
 	}
 
 	/** Whether someone is reading it. */
-	get isFollowed(): boolean {
-		return this.#followers > 0;
+	get hasReaders(): boolean {
+		return this.#readerCount > 0;
 	}
 
 	/** Bytes kept. */
@@ -61,9 +61,9 @@
 		return false;
 	}
 
-	override write(piece: string | Uint8Array): void {
-		const bytes = typeof piece === 'string' ? Buffer.from(piece) : piece;
-		this.#pieces.push(bytes);
+	override write(chunk: string | Uint8Array): void {
+		const bytes = typeof chunk === 'string' ? Buffer.from(chunk) : chunk;
+		this.#chunks.push(bytes);
 		this.#size += bytes.length;
 		this.#wake();
 	}
@@ -73,12 +73,12 @@
 		this.#wake();
 	}
 
-	override cut(): void {
+	override abort(): void {
 		this.#state = 'cut';
 		this.#wake();
 	}
 
-	override async waitForRoom(): Promise<void> {
+	override async waitForDrain(): Promise<void> {
 		// There is always room.
 	}
 
@@ -87,70 +87,70 @@
 	}
 
 	/** Forgets the body of a finished answer; the fact that it ran stays. */
-	drop(): void {
-		this.#pieces.length = 0;
+	dropBody(): void {
+		this.#chunks.length = 0;
 		this.#size = 0;
-		this.#isDropped = true;
+		this.#isBodyDropped = true;
 	}
 
 	/** Takes the recording in a form that can be passed on; call when done. */
-	store(): StoredAnswer {
+	exportAnswer(): StoredAnswer {
 		return {
 			head: this.#head ?? {status: 500, headers: {}},
-			body: this.#isDropped ? undefined : Buffer.concat(this.#pieces).toString('base64'),
+			body: this.#isBodyDropped ? undefined : Buffer.concat(this.#chunks).toString('base64'),
 			wasCut: this.#state === 'cut',
 		};
 	}
 
 	/** Plays the answer into a sink, waiting for what is still to come. Stops when the sink's reader is gone. */
-	async playInto(sink: AnswerSink): Promise<void> {
-		this.#followers++;
+	async replayInto(sink: AnswerSink): Promise<void> {
+		this.#readerCount++;
 		try {
 			let next = 0;
-			while (!sink.gone.aborted) {
+			while (!sink.disconnected.aborted) {
 				if (!sink.hasStarted && this.#head !== undefined) {
 					sink.start(this.#head);
 				}
 
-				if (next < this.#pieces.length) {
-					sink.write(this.#pieces[next]);
+				if (next < this.#chunks.length) {
+					sink.write(this.#chunks[next]);
 					next++;
-					await sink.waitForRoom();
+					await sink.waitForDrain();
 				} else if (this.isDone) {
 					this.#finish(sink);
 					return;
 				} else {
-					await this.#waitForMore(sink.gone);
+					await this.#waitForMore(sink.disconnected);
 				}
 			}
 		} finally {
-			this.#followers--;
+			this.#readerCount--;
 		}
 	}
 
 	#finish(sink: AnswerSink): void {
 		if (this.#state === 'cut') {
-			sink.cut();
+			sink.abort();
 		} else {
 			sink.end();
 		}
 	}
 
-	async #waitForMore(gone: AbortSignal): Promise<void> {
+	async #waitForMore(disconnected: AbortSignal): Promise<void> {
 		await new Promise<void>(resolve => {
 			const finish = () => {
-				this.#waiting.delete(finish);
-				gone.removeEventListener('abort', finish);
+				this.#waitingReaders.delete(finish);
+				disconnected.removeEventListener('abort', finish);
 				resolve();
 			};
 
-			this.#waiting.add(finish);
-			gone.addEventListener('abort', finish, {once: true});
+			this.#waitingReaders.add(finish);
+			disconnected.addEventListener('abort', finish, {once: true});
 		});
 	}
 
 	#wake(): void {
-		for (const resume of this.#waiting) {
+		for (const resume of this.#waitingReaders) {
 			resume();
 		}
 	}
--- a/src/node/entry/request-bound.ts
+++ b/src/node/entry/request-cancellation.ts
@@ -2,33 +2,33 @@
 import {createFailure, type Clock, type Failure} from '../../common/index.js';
 
 /** One request's bound. Call `close` when the request has ended. */
-export class RequestBound {
+export class RequestCancellation {
 	readonly #controller = new AbortController();
 	readonly #timer: {cancel(): void};
 	readonly #unsubscribe: () => void;
-	#cause: 'bound' | 'gone' | 'stopped' | undefined;
+	#cause: 'deadline' | 'disconnected' | 'stopped' | undefined;
 
-	constructor(clock: Clock, deadline: number, gone: AbortSignal, stopped: AbortSignal) {
+	constructor(clock: Clock, deadline: number, disconnected: AbortSignal, stopped: AbortSignal) {
 		this.#timer = clock.setTimer(Math.max(0, deadline - clock.readMonotonic()), () => {
-			this.#end('bound');
+			this.#end('deadline');
 		});
-		const onGone = () => {
-			this.#end('gone');
+		const onDisconnected = () => {
+			this.#end('disconnected');
 		};
 
 		const onStopped = () => {
 			this.#end('stopped');
 		};
 
-		gone.addEventListener('abort', onGone, {once: true});
+		disconnected.addEventListener('abort', onDisconnected, {once: true});
 		stopped.addEventListener('abort', onStopped, {once: true});
 		this.#unsubscribe = () => {
-			gone.removeEventListener('abort', onGone);
+			disconnected.removeEventListener('abort', onDisconnected);
 			stopped.removeEventListener('abort', onStopped);
 		};
 
-		if (gone.aborted) {
-			this.#end('gone');
+		if (disconnected.aborted) {
+			this.#end('disconnected');
 		}
 
 		if (stopped.aborted) {
@@ -42,24 +42,24 @@
 	}
 
 	/** The failure that goes with the cause; undefined while the request may go on. */
-	findFailure(hasRun: boolean): Failure | undefined {
+	findFailure(mayHaveRun: boolean): Failure | undefined {
 		switch (this.#cause) {
 			case undefined: {
 				return undefined;
 			}
 
-			case 'bound': {
-				return hasRun
+			case 'deadline': {
+				return mayHaveRun
 					? createFailure('bound_passed_running', 'the time bound passed while the request ran; its work was cancelled')
 					: createFailure('bound_passed_waiting', 'the time bound passed before the request could be sent');
 			}
 
-			case 'gone': {
-				return createFailure('caller_gone', 'the caller closed the connection; the work was cancelled', {ran: hasRun ? 'partly' : 'no'});
+			case 'disconnected': {
+				return createFailure('caller_gone', 'the caller closed the connection; the work was cancelled', {ran: mayHaveRun ? 'partly' : 'no'});
 			}
 
 			case 'stopped': {
-				return createFailure('node_stopped', 'the node was told to stop at once', {ran: hasRun ? 'partly' : 'no'});
+				return createFailure('node_stopped', 'the node was told to stop at once', {ran: mayHaveRun ? 'partly' : 'no'});
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 		this.#unsubscribe();
 	}
 
-	#end(cause: 'bound' | 'gone' | 'stopped'): void {
+	#end(cause: 'deadline' | 'disconnected' | 'stopped'): void {
 		this.#cause ??= cause;
 		this.#controller.abort();
 	}
--- a/src/node/entry/retry-budget.ts
+++ b/src/node/entry/retry-budget.ts
@@ -1,20 +1,20 @@
 /** Limits retries to a share of recent requests, so that retries cannot become the load. Pure. */
 
 /** Retries that may be saved up while nothing fails. */
-const mostSaved = 20;
+const maxBalance = 20;
 
 /** A budget of retries: each request adds a share, each retry takes one. */
 export class RetryBudget {
-	readonly #share: number;
-	#balance = mostSaved / 2;
+	readonly #retryRatio: number;
+	#balance = maxBalance / 2;
 
-	constructor(share: number) {
-		this.#share = share;
+	constructor(retryRatio: number) {
+		this.#retryRatio = retryRatio;
 	}
 
 	/** Notes a request. */
-	addRequest(): void {
-		this.#balance = Math.min(mostSaved, this.#balance + this.#share);
+	recordRequest(): void {
+		this.#balance = Math.min(maxBalance, this.#balance + this.#retryRatio);
 	}
 
 	/** Takes one retry; false when the budget is spent. */
--- a/src/node/entry/run-keys.ts
+++ b/src/node/entry/run-keys.ts
@@ -14,9 +14,9 @@
 import {Recording} from './recording.js';
 
 /** What to do with a key. */
-export type RunKeyVerdict = {
+export type RunKeyClaim = {
 	/** `run`: the key is new, run it into the recording. `play`: it has been run, or runs now. */
-	kind: 'run' | 'play';
+	kind: 'run' | 'replay';
 	recording: Recording;
 };
 
@@ -26,21 +26,21 @@
 	fingerprint: string;
 	recording: Recording;
 	/** Monotonic time until which it is kept. */
-	keepUntil: number;
+	expiresAt: number;
 };
 
 /** Added to the lifetime of a key before its outcome is forgotten, in milliseconds. */
-const keepMargin = 60_000;
+const retentionMargin = 60_000;
 
 /** Seconds by which the clock of the node that gave out a token may be ahead of the owner's. */
-const mostSkew = 120;
+const maxClockSkew = 120;
 
 /** The run keys of one process, and those it inherited. */
 export class RunKeyStore {
 	readonly #clock: Clock;
 	readonly #incarnation: Incarnation;
 	readonly #lifetime: number;
-	readonly #keptBytes: number;
+	readonly #maxAnswerBytes: number;
 	/** Difference between Unix time and the monotonic clock at start: a jump of the wall clock later changes nothing. */
 	readonly #epochOffset: number;
 	readonly #records = new Map<string, RunRecord>();
@@ -49,11 +49,11 @@
 	#isClosed = false;
 
 	/** Lifetime in milliseconds; kept bytes bound the bodies of finished answers. */
-	constructor(clock: Clock, incarnation: Incarnation, lifetime: number, keptBytes: number) {
+	constructor(clock: Clock, incarnation: Incarnation, lifetime: number, maxAnswerBytes: number) {
 		this.#clock = clock;
 		this.#incarnation = incarnation;
 		this.#lifetime = lifetime;
-		this.#keptBytes = keptBytes;
+		this.#maxAnswerBytes = maxAnswerBytes;
 		this.#epochOffset = clock.now().getTime() - clock.readMonotonic();
 	}
 
@@ -68,12 +68,12 @@
 	}
 
 	/** Decides about a key that this process answers for. Fingerprint: of the request the key came with. */
-	claim(organisation: OrganisationId, runKey: RunKey, parts: RunKeyParts, fingerprint: string): Either<Failure, RunKeyVerdict> {
-		this.#forgetOld();
+	claim(organisation: OrganisationId, runKey: RunKey, parts: RunKeyParts, fingerprint: string): Either<Failure, RunKeyClaim> {
+		this.#removeExpired();
 		const id = formatRecordId(organisation, runKey);
-		const known = this.#records.get(id);
-		if (known !== undefined) {
-			return this.#findRecorded(known, fingerprint);
+		const existing = this.#records.get(id);
+		if (existing !== undefined) {
+			return this.#replayRecorded(existing, fingerprint);
 		}
 
 		if (parts.incarnation !== this.#incarnation || this.#isClosed) {
@@ -86,19 +86,19 @@
 			return Left(createFailure('run_key_expired', 'the key is past its lifetime, and an outcome, if there was one, is no longer kept; ask /v1/addresses for a new one'));
 		}
 
-		if (parts.issuedSecond > this.readSecond() + mostSkew) {
+		if (parts.issuedSecond > this.readSecond() + maxClockSkew) {
 			return Left(createFailure('invalid_run_key', 'the key names a time that has not come yet; make it from a token of /v1/addresses'));
 		}
 
 		const recording = new Recording();
 		this.#records.set(id, {
-			organisation, runKey, fingerprint, recording, keepUntil: usableUntil + keepMargin,
+			organisation, runKey, fingerprint, recording, expiresAt: usableUntil + retentionMargin,
 		});
 		return Right({kind: 'run', recording});
 	}
 
 	/** Forgets a key whose request is known not to have run: the same key may be tried again. */
-	forget(organisation: OrganisationId, runKey: RunKey): void {
+	release(organisation: OrganisationId, runKey: RunKey): void {
 		this.#records.delete(formatRecordId(organisation, runKey));
 	}
 
@@ -107,9 +107,9 @@
 		let kept = 0;
 		for (const record of [...this.#records.values()].reverse()) {
 			kept += record.recording.size;
-			if (kept > this.#keptBytes && record.recording.isDone && !record.recording.isFollowed) {
+			if (kept > this.#maxAnswerBytes && record.recording.isDone && !record.recording.hasReaders) {
 				kept -= record.recording.size;
-				record.recording.drop();
+				record.recording.dropBody();
 			}
 		}
 	}
@@ -121,14 +121,14 @@
 
 	/** Takes what a successor needs. Call when closed and every run has ended. */
 	exportOutcomes(): StoredOutcome[] {
-		this.#forgetOld();
+		this.#removeExpired();
 		const now = this.#clock.readMonotonic();
 		return [...this.#records.values()].filter(record => record.recording.isDone).map(record => ({
 			organisation: record.organisation,
 			runKey: record.runKey,
 			fingerprint: record.fingerprint,
-			usableFor: record.keepUntil - now,
-			answer: record.recording.store(),
+			usableFor: record.expiresAt - now,
+			answer: record.recording.exportAnswer(),
 		}));
 	}
 
@@ -141,7 +141,7 @@
 	inherit(incarnations: Incarnation[], outcomes: StoredOutcome[]): void {
 		const now = this.#clock.readMonotonic();
 		for (const incarnation of incarnations) {
-			this.#inherited.set(incarnation, now + this.#lifetime + keepMargin);
+			this.#inherited.set(incarnation, now + this.#lifetime + retentionMargin);
 		}
 
 		for (const outcome of outcomes) {
@@ -149,30 +149,30 @@
 				organisation: outcome.organisation,
 				runKey: outcome.runKey,
 				fingerprint: outcome.fingerprint,
-				recording: Recording.fromStored(outcome.answer),
-				keepUntil: now + outcome.usableFor,
+				recording: Recording.restore(outcome.answer),
+				expiresAt: now + outcome.usableFor,
 			});
 		}
 
 		this.trim();
 	}
 
-	#findRecorded(record: RunRecord, fingerprint: string): Either<Failure, RunKeyVerdict> {
+	#replayRecorded(record: RunRecord, fingerprint: string): Either<Failure, RunKeyClaim> {
 		if (record.fingerprint !== fingerprint) {
 			return Left(createFailure('run_key_reused', 'the key has been used for another request, and this one was not run; make a new key for each request'));
 		}
 
-		if (record.recording.isDropped) {
+		if (record.recording.isBodyDropped) {
 			return Left(createFailure('outcome_not_kept', 'the request ran to its end; its answer was too large to keep'));
 		}
 
-		return Right({kind: 'play', recording: record.recording});
+		return Right({kind: 'replay', recording: record.recording});
 	}
 
-	#forgetOld(): void {
+	#removeExpired(): void {
 		const now = this.#clock.readMonotonic();
 		for (const [id, record] of this.#records) {
-			if (now > record.keepUntil && record.recording.isDone) {
+			if (now > record.expiresAt && record.recording.isDone) {
 				this.#records.delete(id);
 			}
 		}
--- a/src/node/entry/token-estimator.ts
+++ b/src/node/entry/token-estimator.ts
@@ -22,7 +22,7 @@
 	}
 
 	/** Learns from a report. */
-	learn(service: ServiceName, bytes: number, tokens: number): void {
+	update(service: ServiceName, bytes: number, tokens: number): void {
 		if (bytes <= 0 || tokens <= 0) {
 			return;
 		}
--- a/src/node/membership/gateway.ts
+++ b/src/node/membership/gateway.ts
@@ -6,7 +6,7 @@
 import type {NodeClients} from '../../rpc/index.js';
 import type {FleetView} from '../config/index.js';
 import type {AdmitRequest, Grant, Heartbeat} from '../dispatch/index.js';
-import {DispatcherGateway, type AskedNode} from '../entry/index.js';
+import {DispatcherClient, type AdmissionTarget} from '../entry/index.js';
 import type {PoolHost} from './pool-host.js';
 import type {Reconciler} from './reconciler.js';
 
@@ -25,7 +25,7 @@
 };
 
 /** Routes admissions and heartbeats by the term records in the view. */
-export class PoolGateway extends DispatcherGateway {
+export class PoolGateway extends DispatcherClient {
 	readonly #parts: GatewayParts;
 	/** Fired and replaced whenever a term changes: what waits on an ended term asks again. */
 	#termChanged = new AbortController();
@@ -41,7 +41,7 @@
 		});
 	}
 
-	override async admit(request: AdmitRequest, {pool, isStandIn}: AskedNode, signal: AbortSignal): Promise<Either<Failure, Grant>> {
+	override async admit(request: AdmitRequest, {pool, isStandIn}: AdmissionTarget, signal: AbortSignal): Promise<Either<Failure, Grant>> {
 		const holder = this.#findHolder(pool);
 		const asked = isStandIn ? this.#parts.host.findStandIn(pool, holder)?.incarnation : holder;
 		if (asked === undefined) {
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -154,7 +154,7 @@
 
 	/** Ends at once: answers in progress end with an error. */
 	async stopNow(): Promise<void> {
-		this.#entry.stopNow();
+		this.#entry.abortRequests();
 		await waitFor(this.#parts.clock, closingGrace);
 		await this.#close();
 	}
@@ -164,7 +164,7 @@
 		this.#phase = 'stopped';
 		this.#supervisorStop.abort();
 		await Promise.all([this.#clients.close(), this.#backendAgent.destroy()]);
-		this.#entry.stopNow();
+		this.#entry.abortRequests();
 		await this.#close();
 	}
 
@@ -209,7 +209,7 @@
 	}
 
 	override answersFor(incarnation: Incarnation): boolean {
-		return this.#entry.store.answersFor(incarnation);
+		return this.#entry.runKeys.answersFor(incarnation);
 	}
 
 	override runKeyed(request: KeyedRequest, signal: AbortSignal): AsyncIterable<AnswerFrame> {
@@ -217,7 +217,7 @@
 	}
 
 	override inherit(inheritance: Inheritance): void {
-		this.#entry.store.inherit(inheritance.incarnations, inheritance.outcomes);
+		this.#entry.runKeys.inherit(inheritance.incarnations, inheritance.outcomes);
 	}
 
 	override noteLeaving(incarnation: Incarnation): void {
@@ -308,7 +308,7 @@
 	}
 
 	async #passOutcomes(): Promise<void> {
-		const {store} = this.#entry;
+		const {runKeys: store} = this.#entry;
 		store.close();
 		const inheritance = {incarnations: store.listIncarnations(), outcomes: store.exportOutcomes()};
 		const heirs = this.members.listReady().filter(member => member.incarnation !== this.#incarnation);
--- a/test/change-configuration.test.ts
+++ b/test/change-configuration.test.ts
@@ -3,7 +3,7 @@
 } from '@jest/globals';
 import {hashSecret} from '../src/common/index.js';
 import {standinFleet} from '../src/standin/index.js';
-import {call, chatBody, readError} from './helpers/calls.js';
+import {call, buildChatBody, readError} from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
 let fleet: TestFleet;
@@ -25,7 +25,7 @@
 }
 
 async function listStatuses(key: string): Promise<number[]> {
-	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => call(`${node.callerUrl}/v1/chat/completions`, {body: chatBody({max_tokens: 1}), key}))));
+	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => call(`${node.callerUrl}/v1/chat/completions`, {body: buildChatBody({max_tokens: 1}), key}))));
 	return answers.map(answer => answer.status);
 }
 
@@ -36,7 +36,7 @@
 test('a change is in force on every node within a second', async () => {
 	const start = fleet.clock.readMonotonic();
 	putKey('sk-new');
-	await fleet.until(() => hasEverywhere('sk-new'));
+	await fleet.waitUntil(() => hasEverywhere('sk-new'));
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(1000);
 	expect(await listStatuses('sk-new')).toEqual([200, 200, 200]);
 	expect(await listStatuses(standinFleet.key)).toEqual([401, 401, 401]);
@@ -45,12 +45,12 @@
 test('changes made while nodes could not see the platform are in force within 7 s of its return', async () => {
 	fleet.platform.faults = {down: true};
 	fleet.platform.cutWatches();
-	await fleet.pass(60_000, 50);
+	await fleet.advanceTime(60_000, 50);
 	putKey('sk-first');
 	putKey('sk-second');
 	const start = fleet.clock.readMonotonic();
 	fleet.platform.faults = {};
-	await fleet.until(() => hasEverywhere('sk-second'));
+	await fleet.waitUntil(() => hasEverywhere('sk-second'));
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(7000);
 	expect(fleet.nodes.map(node => node.view.findKeyOwner('sk-first'))).toEqual([undefined, undefined, undefined]);
 }, 30_000);
@@ -59,8 +59,8 @@
 	fleet.platform.putObject({
 		kind: 'Policy', metadata: {name: 'meteotessera'}, spec: {partner: 'meteotessera', programs: {admit: 'request.promptTokens < 1.0'}},
 	});
-	await fleet.until(() => fleet.nodes.every(node => node.view.list('Policy').length === 1));
-	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => call(`${node.callerUrl}/v1/chat/completions`, {body: chatBody()}))));
+	await fleet.waitUntil(() => fleet.nodes.every(node => node.view.list('Policy').length === 1));
+	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => call(`${node.callerUrl}/v1/chat/completions`, {body: buildChatBody()}))));
 	expect(answers.map(answer => readError(answer).code)).toEqual(['policy_refused', 'policy_refused', 'policy_refused']);
 });
 
@@ -72,9 +72,9 @@
 			partner: 'meteotessera', keyHashes: [hashSecret(standinFleet.key)], services: [standinFleet.service], requestsPerMinute: 3,
 		},
 	});
-	await fleet.until(() => fleet.nodes.every(node => node.view.find('Organisation', standinFleet.organisation)?.requestsPerMinute === 3));
+	await fleet.waitUntil(() => fleet.nodes.every(node => node.view.find('Organisation', standinFleet.organisation)?.requestsPerMinute === 3));
 	expect(await listStatuses(standinFleet.key)).toEqual([200, 200, 200]);
-	const refused = await fleet.settle(call(`${fleet.nodes[0].callerUrl}/v1/chat/completions`, {body: chatBody()}));
+	const refused = await fleet.settle(call(`${fleet.nodes[0].callerUrl}/v1/chat/completions`, {body: buildChatBody()}));
 	expect(refused.status).toBe(429);
 	expect(readError(refused)).toMatchObject({code: 'rate_limited', ran: 'no', retry_after_seconds: 20});
 });
--- a/test/helpers/calls.ts
+++ b/test/helpers/calls.ts
@@ -16,9 +16,9 @@
 export type ErrorAnswerBody = {error: {code: string; ran: string; message: string; type: string; retry_after_seconds?: number}};
 
 /** A request body for the engine service. */
-export function chatBody(more: Record<string, unknown> = {}): Record<string, unknown> {
+export function buildChatBody(overrides: Record<string, unknown> = {}): Record<string, unknown> {
 	return {
-		model: standinFleet.service, messages: [{role: 'user', content: 'Nowcast for tile 37'}], max_tokens: 5, ...more,
+		model: standinFleet.service, messages: [{role: 'user', content: 'Nowcast for tile 37'}], max_tokens: 5, ...overrides,
 	};
 }
 
@@ -40,8 +40,8 @@
 }
 
 /** Streams or completes a chat. */
-export async function chat(callerUrl: string, body: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<CallAnswer> {
-	return call(`${callerUrl}/v1/chat/completions`, {body: chatBody(body), headers});
+export async function sendChat(callerUrl: string, body: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<CallAnswer> {
+	return call(`${callerUrl}/v1/chat/completions`, {body: buildChatBody(body), headers});
 }
 
 /** Joins the text of a streamed chat. */
@@ -98,6 +98,6 @@
 }
 
 /** The text of an answer of this many tokens. */
-export function countWords(count: number): string {
+export function buildTokenText(count: number): string {
 	return Array.from({length: count}, (_, index) => `t${index + 1} `).join('');
 }
--- a/test/helpers/fleet.ts
+++ b/test/helpers/fleet.ts
@@ -17,7 +17,7 @@
 /** Turns of the event loop given to sockets before time moves on. */
 const turnsPerStep = 12;
 const defaultStep = 5;
-const mostSteps = 60_000;
+const maxSteps = 60_000;
 
 /** A fleet under test. */
 export class TestFleet extends StandinFleet {
@@ -32,7 +32,7 @@
 	/** Starts and waits until every node is ready and every pool is decided somewhere. */
 	async startReady(): Promise<this> {
 		await this.start();
-		await this.until(() => this.nodes.every(node => node.phase === 'ready' && node.readStatus().readyNodes.length === this.nodes.length)
+		await this.waitUntil(() => this.nodes.every(node => node.phase === 'ready' && node.readStatus().readyNodes.length === this.nodes.length)
 			&& this.nodes.flatMap(node => node.readStatus().pools).length >= 2
 			&& this.nodes.every(node => node.view.list('DispatcherTerm').length >= 2));
 		return this;
@@ -50,13 +50,13 @@
 		};
 
 		watch().catch(() => undefined); // eslint-disable-line promise/prefer-await-to-then
-		await this.until(() => isSettled);
+		await this.waitUntil(() => isSettled);
 		return work;
 	}
 
 	/** Lets virtual time pass while sockets work, until a condition holds. */
-	async until(condition: () => boolean, stepMilliseconds = defaultStep): Promise<void> {
-		for (let step = 0; step < mostSteps; step++) {
+	async waitUntil(condition: () => boolean, stepMilliseconds = defaultStep): Promise<void> {
+		for (let step = 0; step < maxSteps; step++) {
 			for (let turn = 0; turn < turnsPerStep; turn++) {
 				await waitForTurn();
 				if (condition()) {
@@ -67,17 +67,17 @@
 			this.clock.advance(stepMilliseconds);
 		}
 
-		throw new Error(`the condition did not come to hold in ${mostSteps * stepMilliseconds} ms of virtual time`);
+		throw new Error(`the condition did not come to hold in ${maxSteps * stepMilliseconds} ms of virtual time`);
 	}
 
 	/** Lets virtual time pass while sockets work. */
-	async pass(milliseconds: number, stepMilliseconds = defaultStep): Promise<void> {
+	async advanceTime(milliseconds: number, stepMilliseconds = defaultStep): Promise<void> {
 		const end = this.clock.readMonotonic() + milliseconds;
-		await this.until(() => this.clock.readMonotonic() >= end, stepMilliseconds);
+		await this.waitUntil(() => this.clock.readMonotonic() >= end, stepMilliseconds);
 	}
 
 	/** Tokens of memory that all engines hold. */
-	countHeld(): number {
+	countHeldTokens(): number {
 		return this.engines.reduce((sum, engine) => sum + engine.heldTokens, 0);
 	}
 
--- a/test/hold-grants.test.ts
+++ b/test/hold-grants.test.ts
@@ -6,7 +6,7 @@
 } from '../src/common/index.js';
 import type {AdmitRequest, Grant, Heartbeat} from '../src/node/dispatch/index.js';
 import {
-	DispatcherGateway, GrantClient, type AskedNode, type CallerRequest,
+	DispatcherClient, GrantClient, type AdmissionTarget, type CallerRequest,
 } from '../src/node/entry/index.js';
 
 const clock = new VirtualClock();
@@ -14,7 +14,7 @@
 const request = callerRequest as CallerRequest;
 
 /** Answers each ask by the next of its answers. */
-class ScriptedGateway extends DispatcherGateway {
+class ScriptedGateway extends DispatcherClient {
 	readonly asked: Array<'holder' | 'stand-in'> = [];
 	readonly heartbeats: Heartbeat[] = [];
 
@@ -22,7 +22,7 @@
 		super();
 	}
 
-	override async admit(_request: AdmitRequest, {isStandIn}: AskedNode): Promise<Either<Failure, Grant>> {
+	override async admit(_request: AdmitRequest, {isStandIn}: AdmissionTarget): Promise<Either<Failure, Grant>> {
 		this.asked.push(isStandIn ? 'stand-in' : 'holder');
 		return this.answers.shift()!();
 	}
--- a/test/keep-answers-whole.test.ts
+++ b/test/keep-answers-whole.test.ts
@@ -2,7 +2,7 @@
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
 import {
-	call, chat, chatBody, joinStream, listStream, readError, type CallAnswer,
+	call, sendChat, buildChatBody, joinStream, listStream, readError, type CallAnswer,
 } from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
@@ -16,11 +16,11 @@
 	await fleet.stop();
 });
 
-async function stream(body: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<CallAnswer> {
-	return fleet.settle(chat(fleet.nodes[0].callerUrl, {stream: true, ...body}, headers));
+async function sendAndRead(body: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<CallAnswer> {
+	return fleet.settle(sendChat(fleet.nodes[0].callerUrl, {stream: true, ...body}, headers));
 }
 
-function countHeld(): number {
+function countHeldTokens(): number {
 	return fleet.engines.reduce((sum, engine) => sum + engine.heldTokens, 0);
 }
 
@@ -33,7 +33,7 @@
 	['ended without its marker', {loseMarker: true}],
 ])('an answer %s still arrives whole and once', async (_name, faults) => {
 	fleet.engines[0].faults = faults;
-	const answer = await stream();
+	const answer = await sendAndRead();
 	expect(joinStream(answer.text)).toBe('t1 t2 t3 t4 t5 ');
 	expect(answer.text.endsWith('data: [DONE]\n\n')).toBe(true);
 	expect(fleet.engines[0].taken).toBe(1);
@@ -41,7 +41,7 @@
 
 test('a chunk of another request never reaches the caller', async () => {
 	fleet.engines[0].faults = {crossAfter: 1};
-	const answer = await stream();
+	const answer = await sendAndRead();
 	const ids = new Set(listStream(answer.text).map(chunk => chunk.id));
 	expect(ids.size).toBe(1);
 	expect(ids.has('chatcmpl-another')).toBe(false);
@@ -49,26 +49,26 @@
 
 test('a whole answer is gathered over a cut', async () => {
 	fleet.engines[0].faults = {cutAfter: 2};
-	const answer = await stream({stream: false});
+	const answer = await sendAndRead({stream: false});
 	expect(answer.text).toContain('t1 t2 t3 t4 t5 ');
 });
 
 test('a lost engine in mid-stream ends in an error event, never in silence', async () => {
 	fleet.engines[0].faults = {cutAfter: 2, forget: true};
-	const answer = await stream();
+	const answer = await sendAndRead();
 	expect(listStream(answer.text).at(-1)?.error).toMatchObject({code: 'backend_lost', ran: 'partly'});
 	expect(answer.text).not.toContain('[DONE]');
 });
 
 test('a request whose engine is lost before the first token runs elsewhere', async () => {
 	const second = await fleet.addEngine();
-	await fleet.pass(300);
+	await fleet.advanceTime(300);
 	for (const engine of fleet.engines) {
 		engine.faults = {hang: true};
 	}
 
-	const answer = chat(fleet.nodes[0].callerUrl, {stream: true});
-	await fleet.until(() => fleet.engines.some(engine => engine.taken === 1));
+	const answer = sendChat(fleet.nodes[0].callerUrl, {stream: true});
+	await fleet.waitUntil(() => fleet.engines.some(engine => engine.taken === 1));
 	const [lost, other] = second.taken === 1 ? [second, fleet.engines[0]] : [fleet.engines[0], second];
 	other.faults = {};
 	await lost.stop();
@@ -79,13 +79,13 @@
 
 test('a request marked as not repeatable does not run elsewhere', async () => {
 	await fleet.addEngine();
-	await fleet.pass(300);
+	await fleet.advanceTime(300);
 	for (const engine of fleet.engines) {
 		engine.faults = {hang: true};
 	}
 
-	const answer = chat(fleet.nodes[0].callerUrl, {}, {'x-not-repeatable': 'true'});
-	await fleet.until(() => fleet.engines.some(engine => engine.taken === 1));
+	const answer = sendChat(fleet.nodes[0].callerUrl, {}, {'x-not-repeatable': 'true'});
+	await fleet.waitUntil(() => fleet.engines.some(engine => engine.taken === 1));
 	const lost = fleet.engines.find(engine => engine.taken === 1)!;
 	await lost.stop();
 	const refusal = await fleet.settle(answer);
@@ -96,9 +96,9 @@
 
 test('an engine that refuses is passed over, also for a request that is not repeatable', async () => {
 	await fleet.addEngine();
-	await fleet.pass(300);
+	await fleet.advanceTime(300);
 	fleet.engines[0].faults = {refuse: true};
-	const answers = await fleet.settle(Promise.all([1, 2, 3].map(async () => chat(fleet.nodes[0].callerUrl, {}, {'x-not-repeatable': 'true'}))));
+	const answers = await fleet.settle(Promise.all([1, 2, 3].map(async () => sendChat(fleet.nodes[0].callerUrl, {}, {'x-not-repeatable': 'true'}))));
 	expect(answers.map(answer => answer.status)).toEqual([200, 200, 200]);
 	expect(fleet.engines.map(engine => engine.taken)).toEqual([0, 3]);
 });
@@ -106,7 +106,7 @@
 test('a refusal by every engine is told as not run', async () => {
 	fleet.engines[0].faults = {refuse: true};
 	const start = fleet.clock.readMonotonic();
-	const answer = await fleet.settle(chat(fleet.nodes[0].callerUrl));
+	const answer = await fleet.settle(sendChat(fleet.nodes[0].callerUrl));
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(200);
 	expect(answer.status).toBe(503);
 	expect(readError(answer).ran).toBe('no');
@@ -116,25 +116,25 @@
 test('at the time bound the caller has an error within 100 ms and the work is cancelled', async () => {
 	fleet.engines[0].faults = {hang: true};
 	const start = fleet.clock.readMonotonic();
-	const answer = await stream({stream: false}, {'x-time-bound-ms': '1000'});
+	const answer = await sendAndRead({stream: false}, {'x-time-bound-ms': '1000'});
 	const took = fleet.clock.readMonotonic() - start;
 	expect(took).toBeGreaterThanOrEqual(1000);
 	expect(took).toBeLessThanOrEqual(1100);
 	expect(answer.status).toBe(504);
 	expect(readError(answer).code).toBe('bound_passed_running');
-	await fleet.until(() => countHeld() === 0);
+	await fleet.waitUntil(() => countHeldTokens() === 0);
 });
 
 test('at the time bound a stream ends with an error event', async () => {
-	const answer = await stream({max_tokens: 1000}, {'x-time-bound-ms': '1000'});
+	const answer = await sendAndRead({max_tokens: 1000}, {'x-time-bound-ms': '1000'});
 	expect(listStream(answer.text).at(-1)?.error?.code).toBe('bound_passed_running');
-	await fleet.until(() => countHeld() === 0);
+	await fleet.waitUntil(() => countHeldTokens() === 0);
 });
 
 test('a bound that passes while the request waits is told as not run', async () => {
-	const long = chat(fleet.nodes[0].callerUrl, {max_tokens: 190_000}, {'x-time-bound-ms': '5000'});
-	await fleet.until(() => fleet.engines[0].taken === 1);
-	const answer = await fleet.settle(chat(fleet.nodes[0].callerUrl, {max_tokens: 50_000}, {'x-time-bound-ms': '500'}));
+	const long = sendChat(fleet.nodes[0].callerUrl, {max_tokens: 190_000}, {'x-time-bound-ms': '5000'});
+	await fleet.waitUntil(() => fleet.engines[0].taken === 1);
+	const answer = await fleet.settle(sendChat(fleet.nodes[0].callerUrl, {max_tokens: 50_000}, {'x-time-bound-ms': '500'}));
 	expect(readError(answer)).toMatchObject({code: 'bound_passed_waiting', ran: 'no'});
 	expect(fleet.engines[0].taken).toBe(1);
 	await fleet.settle(long);
@@ -142,20 +142,20 @@
 
 test('work is cancelled and its grant given back when the caller goes', async () => {
 	const controller = new AbortController();
-	const answer = call(`${fleet.nodes[0].callerUrl}/v1/chat/completions`, {body: chatBody({stream: true, max_tokens: 1000}), signal: controller.signal});
-	await fleet.until(() => countHeld() > 0);
+	const answer = call(`${fleet.nodes[0].callerUrl}/v1/chat/completions`, {body: buildChatBody({stream: true, max_tokens: 1000}), signal: controller.signal});
+	await fleet.waitUntil(() => countHeldTokens() > 0);
 	controller.abort();
 	await fleet.settle(answer.catch(() => undefined)); // eslint-disable-line promise/prefer-await-to-then
-	await fleet.until(() => countHeld() === 0 && fleet.nodes[0].readStatus().pools.every(pool => pool.grants === 0));
+	await fleet.waitUntil(() => countHeldTokens() === 0 && fleet.nodes[0].readStatus().pools.every(pool => pool.grants === 0));
 	expect(fleet.engines[0].cancelled).toHaveLength(1);
 });
 
 test('an answer goes on at another engine when the service allows it', async () => {
 	await fleet.stop();
 	fleet = await new TestFleet({engines: 2, nodes: 1, service: {continuable: true}}).startReady();
-	const answer = chat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 20});
-	await fleet.until(() => fleet.engines.some(engine => engine.heldTokens > 0));
-	await fleet.pass(200);
+	const answer = sendChat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 20});
+	await fleet.waitUntil(() => fleet.engines.some(engine => engine.heldTokens > 0));
+	await fleet.advanceTime(200);
 	await fleet.engines.find(engine => engine.heldTokens > 0)!.stop();
 	const {text} = await fleet.settle(answer);
 	const words = Array.from({length: 20}, (_, index) => `t${index + 1} `).join('');
@@ -176,7 +176,7 @@
 		engine.faults = {refuse: true};
 	}
 
-	const answers = await fleet.settle(Promise.all(Array.from({length: 30}, async () => chat(fleet.nodes[0].callerUrl, {}, {'x-time-bound-ms': '3000'}))));
+	const answers = await fleet.settle(Promise.all(Array.from({length: 30}, async () => sendChat(fleet.nodes[0].callerUrl, {}, {'x-time-bound-ms': '3000'}))));
 	expect(answers.every(answer => readError(answer).ran === 'no')).toBe(true);
 	const sent = fleet.engines.reduce((sum, engine) => sum + engine.refused, 0);
 	expect(sent).toBeGreaterThan(30);
@@ -185,20 +185,20 @@
 
 test('a request for a pool without backend servers is given up in seconds, not at its bound', async () => {
 	await fleet.engines[0].stop();
-	await fleet.pass(3000);
+	await fleet.advanceTime(3000);
 	const start = fleet.clock.readMonotonic();
-	const answer = await fleet.settle(chat(fleet.nodes[0].callerUrl));
+	const answer = await fleet.settle(sendChat(fleet.nodes[0].callerUrl));
 	expect(readError(answer)).toMatchObject({code: 'no_backend_server', ran: 'no'});
 	expect(fleet.clock.readMonotonic() - start).toBeLessThanOrEqual(5100);
 });
 
 test('an answer that comes late reaches nobody, also not the next on the same connection', async () => {
 	fleet.engines[0].faults = {hang: true};
-	const late = await stream({}, {'x-time-bound-ms': '500'});
+	const late = await sendAndRead({}, {'x-time-bound-ms': '500'});
 	expect(readError(late).code).toBe('bound_passed_running');
 	fleet.engines[0].faults = {};
-	await fleet.pass(300);
-	const next = await stream({max_tokens: 2});
+	await fleet.advanceTime(300);
+	const next = await sendAndRead({max_tokens: 2});
 	expect(joinStream(next.text)).toBe('t1 t2 ');
 	expect(new Set(listStream(next.text).map(chunk => chunk.id)).size).toBe(1);
 	expect(listStream(next.text)[0].id).not.toContain(fleet.engines[0].cancelled[0]);
--- a/test/log-decisions.test.ts
+++ b/test/log-decisions.test.ts
@@ -3,7 +3,7 @@
 } from '@jest/globals';
 import {createLogger, Metrics, type MetricTags} from '../src/common/index.js';
 import {standinFleet} from '../src/standin/index.js';
-import {chat, chatBody} from './helpers/calls.js';
+import {sendChat, buildChatBody} from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 import {LogCapture} from './helpers/logs.js';
 
@@ -49,7 +49,7 @@
 
 test('a placement is one line with what was weighed, the choice and the reason', async () => {
 	const {memory} = await startLogged();
-	await fleet.settle(chat(fleet.nodes[0].callerUrl));
+	await fleet.settle(sendChat(fleet.nodes[0].callerUrl));
 	const [line] = memory.listEvents('placement');
 	expect(line).toMatchObject({
 		organisation: standinFleet.organisation,
@@ -64,7 +64,7 @@
 
 test('a refusal is one line with its kind and reason', async () => {
 	const {memory} = await startLogged();
-	await fleet.settle(chat(fleet.nodes[0].callerUrl, {max_tokens: 300_000}));
+	await fleet.settle(sendChat(fleet.nodes[0].callerUrl, {max_tokens: 300_000}));
 	expect(memory.listEvents('refusal')).toMatchObject([{kind: 'prompt_too_large', organisation: standinFleet.organisation}]);
 });
 
@@ -72,8 +72,8 @@
 	const {memory} = await startLogged();
 	fleet.engines[0].faults = {cutAfter: 1, forget: true};
 	const secretPrompt = 'the valley of the seven wells';
-	await fleet.settle(chat(fleet.nodes[0].callerUrl, {messages: [{role: 'user', content: secretPrompt}], stream: true}));
-	await fleet.settle(chat(fleet.nodes[0].callerUrl, {...chatBody(), messages: secretPrompt}));
+	await fleet.settle(sendChat(fleet.nodes[0].callerUrl, {messages: [{role: 'user', content: secretPrompt}], stream: true}));
+	await fleet.settle(sendChat(fleet.nodes[0].callerUrl, {...buildChatBody(), messages: secretPrompt}));
 	expect(memory.text.length).toBeGreaterThan(100);
 	for (const secret of [secretPrompt, standinFleet.key, standinFleet.secret, standinFleet.operatorToken]) {
 		expect(memory.text).not.toContain(secret);
@@ -83,9 +83,9 @@
 test('the metrics that operators read are sent', async () => {
 	const {metrics} = await startLogged();
 	fleet.engines[0].faults = {refuse: true};
-	await fleet.settle(Promise.all([1, 2].map(async () => chat(fleet.nodes[0].callerUrl))));
-	await fleet.settle(chat(fleet.nodes[0].callerUrl, {max_tokens: 300_000}));
-	await fleet.pass(10_100);
+	await fleet.settle(Promise.all([1, 2].map(async () => sendChat(fleet.nodes[0].callerUrl))));
+	await fleet.settle(sendChat(fleet.nodes[0].callerUrl, {max_tokens: 300_000}));
+	await fleet.advanceTime(10_100);
 	expect(metrics.seen.get('first_token')?.[0]).toEqual({service: standinFleet.service, length: 'to-2k'});
 	for (const name of ['short_slowdown', 'queue.wait', 'refusals', 'retries', 'failures', 'control_bytes', 'pool.waiting', 'platform_reachable']) {
 		expect([...metrics.seen.keys()]).toContain(name);
--- a/test/lost-paths.test.ts
+++ b/test/lost-paths.test.ts
@@ -10,7 +10,7 @@
 import {orderByRendezvous} from '../src/common/index.js';
 import {standinFleet} from '../src/standin/index.js';
 import {
-	chat, countWords, joinStream, type CallAnswer,
+	sendChat, buildTokenText, joinStream, type CallAnswer,
 } from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
@@ -50,9 +50,9 @@
 
 /** Starts a long answer, and waits until it runs. */
 async function startLong(entryUrl: string, tokens = longAnswer): Promise<Array<Promise<CallAnswer>>> {
-	const running = chat(entryUrl, {stream: true, max_tokens: tokens});
-	await fleet.until(() => fleet.countHeld() > 0);
-	await fleet.pass(300);
+	const running = sendChat(entryUrl, {stream: true, max_tokens: tokens});
+	await fleet.waitUntil(() => fleet.countHeldTokens() > 0);
+	await fleet.advanceTime(300);
 	return [running];
 }
 
@@ -61,7 +61,7 @@
 	const [running] = await startLong(entryUrl);
 	fleet.network.cutPath(entry, dispatcher);
 	const answer = await fleet.settle(running);
-	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
+	expect(joinStream(answer.text)).toBe(buildTokenText(longAnswer));
 });
 
 test('an answer goes on while its entry and the dispatcher cannot reach each other', async () => {
@@ -69,7 +69,7 @@
 	const [running] = await startLong(entryUrl);
 	cutBothDirections(entry, dispatcher);
 	const answer = await fleet.settle(running);
-	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
+	expect(joinStream(answer.text)).toBe(buildTokenText(longAnswer));
 });
 
 test('an answer goes on when a new dispatcher cannot ask its entry', async () => {
@@ -78,7 +78,7 @@
 	cutBothDirections(entry, next);
 	await fleet.killNode(fleet.nodes[Number(dispatcher.at(-1)) - 1]);
 	const answer = await fleet.settle(running);
-	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
+	expect(joinStream(answer.text)).toBe(buildTokenText(longAnswer));
 });
 
 test('a dispatcher that reaches nobody, not even the platform, cancels nothing of others', async () => {
@@ -88,7 +88,7 @@
 	fleet.platform.cutWatches();
 	fleet.network.cut(dispatcher);
 	const answer = await fleet.settle(running);
-	expect(joinStream(answer.text)).toBe(countWords(longAnswer));
+	expect(joinStream(answer.text)).toBe(buildTokenText(longAnswer));
 });
 
 test('memory of an answer that ended behind a lost path is free again within ten seconds', async () => {
@@ -98,7 +98,7 @@
 	await fleet.settle(running);
 	const countGrants = () => fleet.nodes.reduce((sum, node) => sum + node.readStatus().pools.reduce((held, pool) => held + pool.grants, 0), 0);
 	expect(countGrants()).toBeGreaterThan(0);
-	await fleet.pass(reclaimTime);
+	await fleet.advanceTime(reclaimTime);
 	expect(countGrants()).toBe(0);
 });
 
@@ -113,7 +113,7 @@
 	cutBothDirections(entry, next);
 	await fleet.killNode(fleet.nodes[boxes.indexOf(dispatcher)]);
 	await fleet.killNode(fleet.nodes[fourth]);
-	await fleet.pass(15_000);
+	await fleet.advanceTime(15_000);
 	const terms = fleet.nodes[boxes.indexOf(next)].view.list('DispatcherTerm').map(({term}) => term);
 	expect(Math.max(...terms)).toBeLessThanOrEqual(3);
 });
--- a/test/official-client.test.ts
+++ b/test/official-client.test.ts
@@ -103,5 +103,5 @@
 	}));
 	expect(fleet.engines[0].heldTokens).toBeGreaterThan(0);
 	stream.controller.abort();
-	await fleet.until(() => fleet.engines[0].heldTokens === 0);
+	await fleet.waitUntil(() => fleet.engines[0].heldTokens === 0);
 });
--- a/test/run-at-most-once.test.ts
+++ b/test/run-at-most-once.test.ts
@@ -4,7 +4,7 @@
 } from '@jest/globals';
 import {standinFleet} from '../src/standin/index.js';
 import {
-	call, chat, joinStream, readError, type CallAnswer,
+	call, sendChat, joinStream, readError, type CallAnswer,
 } from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
@@ -26,7 +26,7 @@
 	return `${token}.${randomUUID()}`;
 }
 
-async function alert(node: number, key: string, headers: Record<string, string> = {}, body = 'squall'): Promise<CallAnswer> {
+async function sendAlert(node: number, key: string, headers: Record<string, string> = {}, body = 'squall'): Promise<CallAnswer> {
 	return call(`${fleet.nodes[node].callerUrl}/tessere/alert`, {body, headers: {'x-run-key': key, ...headers}});
 }
 
@@ -37,23 +37,23 @@
 
 test('a repeat at the same node gets the first outcome', async () => {
 	const key = await makeKey(0);
-	const first = await fleet.settle(alert(0, key));
-	const second = await fleet.settle(alert(0, key));
+	const first = await fleet.settle(sendAlert(0, key));
+	const second = await fleet.settle(sendAlert(0, key));
 	expect(second.text).toBe(first.text);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
 test('a repeat at another node gets the first outcome', async () => {
 	const key = await makeKey(0);
-	const first = await fleet.settle(alert(0, key));
-	const others = await fleet.settle(Promise.all([alert(1, key), alert(2, key)]));
+	const first = await fleet.settle(sendAlert(0, key));
+	const others = await fleet.settle(Promise.all([sendAlert(1, key), sendAlert(2, key)]));
 	expect(others.map(answer => answer.text)).toEqual([first.text, first.text]);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
 test('a first call at another node runs at the owner', async () => {
 	const key = await makeKey(0);
-	const answer = await fleet.settle(alert(1, key));
+	const answer = await fleet.settle(sendAlert(1, key));
 	expect(readRun(answer)).toBe(1);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
@@ -61,7 +61,7 @@
 test('repeats while the first still runs wait for it', async () => {
 	fleet.plain.faults = {delay: 500};
 	const key = await makeKey(0);
-	const answers = await fleet.settle(Promise.all([0, 0, 1, 2].map(async node => alert(node, key))));
+	const answers = await fleet.settle(Promise.all([0, 0, 1, 2].map(async node => sendAlert(node, key))));
 	expect(answers.map(answer => readRun(answer))).toEqual([1, 1, 1, 1]);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
@@ -71,17 +71,17 @@
 	const key = await makeKey(0);
 	const controller = new AbortController();
 	const gone = call(`${fleet.nodes[0].callerUrl}/tessere/alert`, {body: 'squall', headers: {'x-run-key': key}, signal: controller.signal});
-	await fleet.until(() => fleet.plain.countRuns(key) === 1);
+	await fleet.waitUntil(() => fleet.plain.countRuns(key) === 1);
 	controller.abort();
 	await expect(fleet.settle(gone)).rejects.toThrow();
-	expect(readRun(await fleet.settle(alert(1, key)))).toBe(1);
+	expect(readRun(await fleet.settle(sendAlert(1, key)))).toBe(1);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
 test('a lost reply of the plain service is told as perhaps run, and the key does not run again', async () => {
 	fleet.plain.faults = {loseReplies: 1};
 	const key = await makeKey(0);
-	const answers = [await fleet.settle(alert(0, key)), await fleet.settle(alert(1, key))];
+	const answers = [await fleet.settle(sendAlert(0, key)), await fleet.settle(sendAlert(1, key))];
 	expect(answers.map(answer => readError(answer))).toMatchObject([{code: 'backend_unconfirmed', ran: 'maybe'}, {code: 'backend_unconfirmed', ran: 'maybe'}]);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
@@ -91,38 +91,38 @@
 	const wait = {'x-time-bound-ms': '300'};
 	fleet.plain.faults = {delay: 2000};
 	const blockers = Array.from({length: 64}, async (_, index) => call(`${fleet.nodes[0].callerUrl}/tessere/block/${index}`, {body: ''}));
-	await fleet.until(() => fleet.plain.runs.size === 64);
-	const refused = await fleet.settle(alert(0, key, wait));
+	await fleet.waitUntil(() => fleet.plain.runs.size === 64);
+	const refused = await fleet.settle(sendAlert(0, key, wait));
 	expect(readError(refused).ran).toBe('no');
 	await fleet.settle(Promise.all(blockers));
-	expect(readRun(await fleet.settle(alert(0, key)))).toBe(1);
+	expect(readRun(await fleet.settle(sendAlert(0, key)))).toBe(1);
 });
 
 test('a key used for another request is refused', async () => {
 	const key = await makeKey(0);
-	await fleet.settle(alert(0, key));
-	const reused = await fleet.settle(alert(0, key, {}, 'hail'));
+	await fleet.settle(sendAlert(0, key));
+	const reused = await fleet.settle(sendAlert(0, key, {}, 'hail'));
 	expect(readError(reused)).toMatchObject({code: 'run_key_reused', ran: 'no'});
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
 test('another organisation cannot read an outcome by its key', async () => {
 	const key = await makeKey(0);
-	await fleet.settle(alert(0, key));
+	await fleet.settle(sendAlert(0, key));
 	const other = await fleet.settle(call(`${fleet.nodes[0].callerUrl}/tessere/alert`, {body: 'squall', headers: {'x-run-key': key}, key: standinFleet.otherKey}));
 	expect(other.text).toContain(standinFleet.otherOrganisation);
 });
 
 test('after the owner died the outcome is unknown for ever and nothing runs again', async () => {
 	const key = await makeKey(0);
-	await fleet.settle(alert(0, key));
+	await fleet.settle(sendAlert(0, key));
 	await fleet.killNode(fleet.nodes[0]);
-	const unreachable = await fleet.settle(alert(1, key));
+	const unreachable = await fleet.settle(sendAlert(1, key));
 	expect(readError(unreachable)).toMatchObject({code: 'owner_unreachable', ran: 'maybe'});
 
 	await fleet.addNode('box-1');
-	await fleet.until(() => fleet.nodes[3].phase === 'ready' && !fleet.nodes[1].members.listAll().some(member => member.incarnation === fleet.nodes[0].incarnation));
-	const answers = [await fleet.settle(alert(1, key)), await fleet.settle(alert(3, key))];
+	await fleet.waitUntil(() => fleet.nodes[3].phase === 'ready' && !fleet.nodes[1].members.listAll().some(member => member.incarnation === fleet.nodes[0].incarnation));
+	const answers = [await fleet.settle(sendAlert(1, key)), await fleet.settle(sendAlert(3, key))];
 	expect(answers.map(answer => readError(answer))).toMatchObject([{code: 'outcome_unknown', ran: 'maybe'}, {code: 'outcome_unknown', ran: 'maybe'}]);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
@@ -134,32 +134,32 @@
 	}
 
 	await fleet.killNode(fleet.nodes[0]);
-	expect(readError(await fleet.settle(alert(1, key))).code).toBe('owner_unreachable');
+	expect(readError(await fleet.settle(sendAlert(1, key))).code).toBe('owner_unreachable');
 	fleet.platform.deleteObject('LiveBox', 'box-1');
-	await fleet.until(() => fleet.nodes[1].view.list('LiveBox').length === 2);
-	expect(readError(await fleet.settle(alert(1, key))).code).toBe('outcome_unknown');
+	await fleet.waitUntil(() => fleet.nodes[1].view.list('LiveBox').length === 2);
+	expect(readError(await fleet.settle(sendAlert(1, key))).code).toBe('outcome_unknown');
 });
 
 test('while the owner is unreachable the answer is maybe, and later the same key works', async () => {
 	const key = await makeKey(0);
 	fleet.network.cut('box-1');
-	const answer = await fleet.settle(alert(1, key, {'x-time-bound-ms': '3000'}));
+	const answer = await fleet.settle(sendAlert(1, key, {'x-time-bound-ms': '3000'}));
 	expect(readError(answer)).toMatchObject({code: 'owner_unreachable', ran: 'maybe', retry_after_seconds: 1});
 	expect(fleet.plain.countRuns(key)).toBe(0);
 
 	fleet.network.restore('box-1');
-	expect(readRun(await fleet.settle(alert(1, key)))).toBe(1);
+	expect(readRun(await fleet.settle(sendAlert(1, key)))).toBe(1);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
 test('a planned stop passes the outcomes to a successor, which answers for the old keys and runs no new ones', async () => {
 	const [used, unused] = [await makeKey(0), await makeKey(0)];
-	const first = await fleet.settle(alert(0, used));
+	const first = await fleet.settle(sendAlert(0, used));
 	const stopping = fleet.nodes[0].stop();
 	await fleet.settle(stopping);
-	const answers = await fleet.settle(Promise.all([alert(1, used), alert(2, used)]));
+	const answers = await fleet.settle(Promise.all([sendAlert(1, used), sendAlert(2, used)]));
 	expect(answers.map(answer => answer.text)).toEqual([first.text, first.text]);
-	const closed = await fleet.settle(alert(1, unused));
+	const closed = await fleet.settle(sendAlert(1, unused));
 	expect(readError(closed)).toMatchObject({code: 'run_key_closed', ran: 'no'});
 	expect(fleet.plain.countRuns(used)).toBe(1);
 	expect(fleet.plain.countRuns(unused)).toBe(0);
@@ -167,22 +167,22 @@
 
 test('outcomes pass on through two planned stops', async () => {
 	const key = await makeKey(0);
-	const first = await fleet.settle(alert(0, key));
+	const first = await fleet.settle(sendAlert(0, key));
 	await fleet.settle(fleet.nodes[0].stop());
-	const heir = fleet.nodes.findIndex((node, index) => index > 0 && node.answersFor(fleet.nodes[0].incarnation));
-	await fleet.settle(fleet.nodes[heir].stop());
-	const last = heir === 1 ? 2 : 1;
-	const answer = await fleet.settle(alert(last, key));
+	const successor = fleet.nodes.findIndex((node, index) => index > 0 && node.answersFor(fleet.nodes[0].incarnation));
+	await fleet.settle(fleet.nodes[successor].stop());
+	const last = successor === 1 ? 2 : 1;
+	const answer = await fleet.settle(sendAlert(last, key));
 	expect(answer.text).toBe(first.text);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
 test('a key past its lifetime is not run and not called unrun', async () => {
 	const key = await makeKey(0);
-	await fleet.settle(alert(0, key));
+	await fleet.settle(sendAlert(0, key));
 	fleet.clock.advance(662_000);
-	await fleet.pass(2000);
-	const answer = await fleet.settle(alert(0, key));
+	await fleet.advanceTime(2000);
+	const answer = await fleet.settle(sendAlert(0, key));
 	expect(readError(answer)).toMatchObject({code: 'run_key_expired', ran: 'maybe'});
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
@@ -190,7 +190,7 @@
 test('a streamed completion with a key is the same for every repeat', async () => {
 	const key = await makeKey(0);
 	const headers = {'x-run-key': key};
-	const answers = await fleet.settle(Promise.all([0, 1, 2].map(async node => chat(fleet.nodes[node].callerUrl, {stream: true}, headers))));
+	const answers = await fleet.settle(Promise.all([0, 1, 2].map(async node => sendChat(fleet.nodes[node].callerUrl, {stream: true}, headers))));
 	expect(answers.map(answer => joinStream(answer.text))).toEqual(['t1 t2 t3 t4 t5 ', 't1 t2 t3 t4 t5 ', 't1 t2 t3 t4 t5 ']);
 	expect(fleet.engines[0].taken).toBe(1);
 });
@@ -199,28 +199,28 @@
 	const key = await makeKey(0);
 	fleet.network.pause('box-1');
 	const bound = {'x-time-bound-ms': '1000'};
-	const answers = await fleet.settle(Promise.all([alert(1, key, bound), alert(2, key, bound)]));
+	const answers = await fleet.settle(Promise.all([sendAlert(1, key, bound), sendAlert(2, key, bound)]));
 	expect(answers.map(answer => readError(answer))).toMatchObject([{code: 'owner_unreachable', ran: 'maybe'}, {code: 'owner_unreachable', ran: 'maybe'}]);
 	expect(fleet.plain.countRuns(key)).toBe(0);
 
 	fleet.network.restore('box-1');
-	await fleet.until(() => fleet.plain.countRuns(key) === 1);
-	expect(readRun(await fleet.settle(alert(2, key)))).toBe(1);
-	await fleet.pass(2000);
+	await fleet.waitUntil(() => fleet.plain.countRuns(key) === 1);
+	expect(readRun(await fleet.settle(sendAlert(2, key)))).toBe(1);
+	await fleet.advanceTime(2000);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
 test('a repeat with a shorter bound hears so at its bound, and later gets the outcome', async () => {
 	fleet.plain.faults = {delay: 3000};
 	const key = await makeKey(0);
-	const first = alert(0, key);
-	await fleet.until(() => fleet.plain.countRuns(key) === 1);
+	const first = sendAlert(0, key);
+	await fleet.waitUntil(() => fleet.plain.countRuns(key) === 1);
 	const start = fleet.clock.readMonotonic();
-	const repeat = await fleet.settle(alert(0, key, {'x-time-bound-ms': '500'}));
+	const repeat = await fleet.settle(sendAlert(0, key, {'x-time-bound-ms': '500'}));
 	expect(readError(repeat)).toMatchObject({code: 'bound_passed_running', ran: 'maybe'});
 	expect(fleet.clock.readMonotonic() - start).toBeLessThanOrEqual(600);
 	const whole = await fleet.settle(first);
-	const later = await fleet.settle(alert(0, key));
+	const later = await fleet.settle(sendAlert(0, key));
 	expect(later.text).toBe(whole.text);
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
--- a/test/serve-callers.test.ts
+++ b/test/serve-callers.test.ts
@@ -3,7 +3,7 @@
 } from '@jest/globals';
 import {standinFleet} from '../src/standin/index.js';
 import {
-	call, chat, chatBody, joinStream, readError, sendRaw, type ErrorAnswerBody,
+	call, sendChat, buildChatBody, joinStream, readError, sendRaw, type ErrorAnswerBody,
 } from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
@@ -20,14 +20,14 @@
 });
 
 test('streams an answer with its finish marker', async () => {
-	const answer = await fleet.settle(chat(url, {stream: true}));
+	const answer = await fleet.settle(sendChat(url, {stream: true}));
 	expect(answer.status).toBe(200);
 	expect(joinStream(answer.text)).toBe('t1 t2 t3 t4 t5 ');
 	expect(answer.text.endsWith('data: [DONE]\n\n')).toBe(true);
 });
 
 test('gives a whole answer in the shape of OpenAI', async () => {
-	const answer = await fleet.settle(chat(url));
+	const answer = await fleet.settle(sendChat(url));
 	expect(answer.headers['x-cresshook-ran']).toBe('yes');
 	expect(JSON.parse(answer.text)).toMatchObject({
 		object: 'chat.completion',
@@ -42,12 +42,12 @@
 });
 
 test('either node serves, wherever the dispatcher is', async () => {
-	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => chat(node.callerUrl, {stream: true}))));
+	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => sendChat(node.callerUrl, {stream: true}))));
 	expect(answers.map(answer => joinStream(answer.text))).toEqual(['t1 t2 t3 t4 t5 ', 't1 t2 t3 t4 t5 ']);
 });
 
 test('gives several choices', async () => {
-	const answer = await fleet.settle(chat(url, {n: 2, max_tokens: 2}));
+	const answer = await fleet.settle(sendChat(url, {n: 2, max_tokens: 2}));
 	const {choices} = JSON.parse(answer.text) as {choices: Array<{message: {content: string}}>};
 	expect(choices.map(choice => choice.message.content)).toEqual(['t1 t2 ', 't1 t2 ']);
 });
@@ -73,18 +73,18 @@
 });
 
 test.each([
-	['unknown_key', 401, {key: 'sk-wrong', body: chatBody()}],
-	['service_forbidden', 403, {key: standinFleet.otherKey, body: chatBody()}],
-	['unknown_model', 404, {body: chatBody({model: 'mosto-llm'})}],
+	['unknown_key', 401, {key: 'sk-wrong', body: buildChatBody()}],
+	['service_forbidden', 403, {key: standinFleet.otherKey, body: buildChatBody()}],
+	['unknown_model', 404, {body: buildChatBody({model: 'mosto-llm'})}],
 	['invalid_json', 400, {body: '{"model": '}],
-	['invalid_request', 400, {body: chatBody({messages: 'no list'})}],
-	['invalid_request', 400, {body: chatBody({n: 0})}],
-	['invalid_request', 400, {body: chatBody(), headers: {'x-not-repeatable': 'maybe'}}],
-	['invalid_time_bound', 400, {body: chatBody(), headers: {'x-time-bound-ms': '0'}}],
-	['invalid_time_bound', 400, {body: chatBody(), headers: {'x-time-bound-ms': '600001'}}],
-	['invalid_time_bound', 400, {body: chatBody(), headers: {'x-time-bound-ms': 'soon'}}],
-	['invalid_run_key', 400, {body: chatBody(), headers: {'x-run-key': 'mine'}}],
-	['prompt_too_large', 400, {body: chatBody({max_tokens: 300_000})}],
+	['invalid_request', 400, {body: buildChatBody({messages: 'no list'})}],
+	['invalid_request', 400, {body: buildChatBody({n: 0})}],
+	['invalid_request', 400, {body: buildChatBody(), headers: {'x-not-repeatable': 'maybe'}}],
+	['invalid_time_bound', 400, {body: buildChatBody(), headers: {'x-time-bound-ms': '0'}}],
+	['invalid_time_bound', 400, {body: buildChatBody(), headers: {'x-time-bound-ms': '600001'}}],
+	['invalid_time_bound', 400, {body: buildChatBody(), headers: {'x-time-bound-ms': 'soon'}}],
+	['invalid_run_key', 400, {body: buildChatBody(), headers: {'x-run-key': 'mine'}}],
+	['prompt_too_large', 400, {body: buildChatBody({max_tokens: 300_000})}],
 	['body_too_large', 413, {body: `"${'x'.repeat(17 * 1_048_576)}"`}],
 ] as const)('refuses with %s (%i) and sends nothing to an engine', async (code, status, options) => {
 	const takenBefore = fleet.engines.map(engine => engine.taken);
@@ -101,14 +101,14 @@
 });
 
 test('messages that are no objects are refused before anything runs', async () => {
-	const answers = await Promise.all([null, 'text', 5].map(async message => fleet.settle(call(`${url}/v1/chat/completions`, {body: chatBody({messages: [message]})}))));
+	const answers = await Promise.all([null, 'text', 5].map(async message => fleet.settle(call(`${url}/v1/chat/completions`, {body: buildChatBody({messages: [message]})}))));
 	expect(answers.map(answer => [answer.status, readError(answer).code, readError(answer).ran])).toEqual([
 		[400, 'invalid_request', 'no'], [400, 'invalid_request', 'no'], [400, 'invalid_request', 'no'],
 	]);
 });
 
 test('a whole answer says when it was made, also when the engine does not', async () => {
-	const answer = await fleet.settle(chat(url));
+	const answer = await fleet.settle(sendChat(url));
 	const {created} = JSON.parse(answer.text) as {created: number};
 	expect(created).toBe(Math.floor(fleet.clock.now().getTime() / 1000));
 });
--- a/test/standins.test.ts
+++ b/test/standins.test.ts
@@ -2,7 +2,7 @@
 import {
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
-import {call, chat} from './helpers/calls.js';
+import {call, sendChat} from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
 let fleet: TestFleet;
@@ -34,21 +34,21 @@
 test('cache events come late, and with gaps where that fault is on', async () => {
 	const messages = [{role: 'user', content: 'x'.repeat(5000)}];
 	fleet.engines[0].faults = {cacheGaps: true};
-	const answer = chat(fleet.nodes[0].callerUrl, {messages, max_tokens: 1});
-	await fleet.until(() => fleet.engines[0].taken === 1);
+	const answer = sendChat(fleet.nodes[0].callerUrl, {messages, max_tokens: 1});
+	await fleet.waitUntil(() => fleet.engines[0].taken === 1);
 	expect(await read('/v1/cache/events')).toEqual({events: []});
 	await fleet.settle(answer);
-	await fleet.pass(250);
+	await fleet.advanceTime(250);
 	const {events} = await read('/v1/cache/events') as {events: Array<{sequence: number}>};
 	expect(events.length).toBeGreaterThan(0);
 	expect(events.every(event => event.sequence % 2 === 1)).toBe(true);
 });
 
 test('reported load lags', async () => {
-	const answer = chat(fleet.nodes[0].callerUrl, {max_tokens: 1000}, {'x-time-bound-ms': '2000'});
-	await fleet.until(() => fleet.engines[0].heldTokens > 0);
+	const answer = sendChat(fleet.nodes[0].callerUrl, {max_tokens: 1000}, {'x-time-bound-ms': '2000'});
+	await fleet.waitUntil(() => fleet.engines[0].heldTokens > 0);
 	expect(await read('/v1/load')).toMatchObject({heldTokens: 0});
-	await fleet.pass(1000);
+	await fleet.advanceTime(1000);
 	expect(((await read('/v1/load')) as {heldTokens: number}).heldTokens).toBeGreaterThan(1000);
 	await fleet.settle(answer);
 });
@@ -56,7 +56,7 @@
 test('a shared prefix is read once', async () => {
 	const messages = [{role: 'system', content: 'x'.repeat(8000)}, {role: 'user', content: 'tile 1'}];
 	const cached = async () => {
-		const answer = await fleet.settle(chat(fleet.nodes[0].callerUrl, {messages, max_tokens: 1}));
+		const answer = await fleet.settle(sendChat(fleet.nodes[0].callerUrl, {messages, max_tokens: 1}));
 		return (JSON.parse(answer.text) as {usage: {prompt_tokens_details: {cached_tokens: number}}}).usage.prompt_tokens_details.cached_tokens;
 	};
 
@@ -68,7 +68,7 @@
 	const before = fleet.platform.calls.reads;
 	fleet.platform.faults = {expireWatches: true};
 	fleet.platform.cutWatches();
-	await fleet.until(() => fleet.platform.calls.reads > before + 1 && fleet.nodes[0].readStatus().isPlatformReachable);
+	await fleet.waitUntil(() => fleet.platform.calls.reads > before + 1 && fleet.nodes[0].readStatus().isPlatformReachable);
 	fleet.platform.putObject({kind: 'LiveBox', metadata: {name: 'box-9'}, spec: {state: 'live'}});
-	await fleet.until(() => fleet.nodes[0].view.list('LiveBox').length === 1);
+	await fleet.waitUntil(() => fleet.nodes[0].view.list('LiveBox').length === 1);
 });
--- a/test/stop-and-crash.test.ts
+++ b/test/stop-and-crash.test.ts
@@ -4,7 +4,7 @@
 import {request} from 'undici';
 import {standinFleet} from '../src/standin/index.js';
 import {
-	call, chat, chatBody, countWords, joinStream, listStream, readError,
+	call, sendChat, buildChatBody, buildTokenText, joinStream, listStream, readError,
 } from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
@@ -19,11 +19,11 @@
 });
 
 test('a planned stop under load cuts off nothing, at any node', async () => {
-	const running = Array.from({length: 12}, async (_, index) => chat(fleet.nodes[index % 3].callerUrl, {stream: true, max_tokens: 100 + (index * 10)}));
-	await fleet.until(() => fleet.countHeld() > 0);
+	const running = Array.from({length: 12}, async (_, index) => sendChat(fleet.nodes[index % 3].callerUrl, {stream: true, max_tokens: 100 + (index * 10)}));
+	await fleet.waitUntil(() => fleet.countHeldTokens() > 0);
 	const stopping = fleet.nodes[fleet.findDispatcherNode()].stop();
 	const answers = await fleet.settle(Promise.all(running));
-	expect(answers.map(answer => joinStream(answer.text))).toEqual(answers.map((_, index) => countWords(100 + (index * 10))));
+	expect(answers.map(answer => joinStream(answer.text))).toEqual(answers.map((_, index) => buildTokenText(100 + (index * 10))));
 	await fleet.settle(stopping);
 	expect(fleet.nodes.filter(node => node.phase === 'stopped')).toHaveLength(1);
 });
@@ -31,15 +31,15 @@
 test('a caller who comes with an address still valid is served by a leaving node', async () => {
 	const leaving = fleet.nodes[0];
 	const stopping = leaving.stop();
-	await fleet.pass(29_000, 50);
-	const answer = await fleet.settle(chat(leaving.callerUrl, {stream: true, max_tokens: 200}));
-	expect(joinStream(answer.text)).toBe(countWords(200));
+	await fleet.advanceTime(29_000, 50);
+	const answer = await fleet.settle(sendChat(leaving.callerUrl, {stream: true, max_tokens: 200}));
+	expect(joinStream(answer.text)).toBe(buildTokenText(200));
 	await fleet.settle(stopping);
 });
 
 test('a leaving node is out of the address answers of every node within a second', async () => {
 	const stopping = fleet.nodes[0].stop();
-	await fleet.pass(500);
+	await fleet.advanceTime(500);
 	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => call(`${node.callerUrl}/v1/addresses`, {method: 'GET'}))));
 	expect(answers.map(answer => answer.text.includes(fleet.nodes[0].callerUrl))).toEqual([false, false, false]);
 	await fleet.settle(stopping);
@@ -49,7 +49,7 @@
 	fleet.platform.faults = {down: true};
 	fleet.platform.cutWatches();
 	const stopping = fleet.nodes[0].stop();
-	await fleet.pass(500);
+	await fleet.advanceTime(500);
 	const answer = await fleet.settle(call(`${fleet.nodes[1].callerUrl}/v1/addresses`, {method: 'GET'}));
 	expect(answer.text).not.toContain(fleet.nodes[0].callerUrl);
 	await fleet.settle(stopping);
@@ -57,11 +57,11 @@
 
 test('a slow reader gets the whole answer of a node that stops', async () => {
 	const stopping = fleet.nodes[0].stop();
-	await fleet.pass(20_000, 50);
+	await fleet.advanceTime(20_000, 50);
 	const response = await fleet.settle(request(`${fleet.nodes[0].callerUrl}/v1/chat/completions`, {
-		method: 'POST', headers: {authorization: `Bearer ${standinFleet.key}`}, body: JSON.stringify(chatBody({stream: true, max_tokens: 1500})),
+		method: 'POST', headers: {authorization: `Bearer ${standinFleet.key}`}, body: JSON.stringify(buildChatBody({stream: true, max_tokens: 1500})),
 	}));
-	await fleet.pass(40_000, 20);
+	await fleet.advanceTime(40_000, 20);
 	let text = '';
 	const read = async () => {
 		for await (const bytes of response.body) {
@@ -70,7 +70,7 @@
 	};
 
 	await fleet.settle(read());
-	expect(joinStream(text)).toBe(countWords(1500));
+	expect(joinStream(text)).toBe(buildTokenText(1500));
 	await fleet.settle(stopping);
 }, 60_000);
 
@@ -78,16 +78,16 @@
 	const dispatcher = fleet.findDispatcherNode();
 	const other = fleet.nodes[(dispatcher + 1) % 3];
 	void fleet.nodes[dispatcher].stop();
-	await fleet.until(() => fleet.nodes.some((node, index) => index !== dispatcher && node.readStatus().pools.some(pool => pool.pool.startsWith(standinFleet.service))));
+	await fleet.waitUntil(() => fleet.nodes.some((node, index) => index !== dispatcher && node.readStatus().pools.some(pool => pool.pool.startsWith(standinFleet.service))));
 	const start = fleet.clock.readMonotonic();
-	await fleet.settle(chat(other.callerUrl, {max_tokens: 1}));
+	await fleet.settle(sendChat(other.callerUrl, {max_tokens: 1}));
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(200);
 });
 
 test('a second signal ends answers at once with an error event', async () => {
-	const running = chat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 5000});
-	await fleet.until(() => fleet.countHeld() > 0);
-	await fleet.pass(200);
+	const running = sendChat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 5000});
+	await fleet.waitUntil(() => fleet.countHeldTokens() > 0);
+	await fleet.advanceTime(200);
 	void fleet.nodes[0].stop();
 	await fleet.settle(fleet.nodes[0].stopNow());
 	const answer = await fleet.settle(running);
@@ -97,50 +97,50 @@
 test('after a node is killed in mid-stream its engines\' memory comes back within 10 s', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const entry = fleet.nodes[(dispatcher + 1) % 3];
-	const running = chat(entry.callerUrl, {stream: true, max_tokens: 100_000});
-	await fleet.until(() => fleet.countHeld() > 0);
-	await fleet.pass(300);
+	const running = sendChat(entry.callerUrl, {stream: true, max_tokens: 100_000});
+	await fleet.waitUntil(() => fleet.countHeldTokens() > 0);
+	await fleet.advanceTime(300);
 	fleet.network.cut(`box-${fleet.nodes.indexOf(entry) + 1}`);
 	const start = fleet.clock.readMonotonic();
 	await fleet.killNode(entry);
 	const answer = await fleet.settle(running);
 	expect(answer.wasCut || listStream(answer.text).at(-1)?.error !== undefined).toBe(true);
-	expect(fleet.countHeld()).toBeGreaterThan(0);
-	await fleet.until(() => fleet.countHeld() === 0);
+	expect(fleet.countHeldTokens()).toBeGreaterThan(0);
+	await fleet.waitUntil(() => fleet.countHeldTokens() === 0);
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(10_000);
 });
 
 test('when dispatcher and entry are one and are killed, the next dispatcher takes the memory back', async () => {
 	const node = fleet.nodes[fleet.findDispatcherNode()];
-	const running = chat(node.callerUrl, {stream: true, max_tokens: 100_000});
-	await fleet.until(() => fleet.countHeld() > 0);
+	const running = sendChat(node.callerUrl, {stream: true, max_tokens: 100_000});
+	await fleet.waitUntil(() => fleet.countHeldTokens() > 0);
 	const start = fleet.clock.readMonotonic();
 	await fleet.killNode(node);
 	await fleet.settle(running);
-	await fleet.until(() => fleet.countHeld() === 0);
+	await fleet.waitUntil(() => fleet.countHeldTokens() === 0);
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(10_000);
 });
 
 test('grants go on within 3 s of the death of a dispatcher, and streams of other nodes are not touched', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const other = fleet.nodes[(dispatcher + 1) % 3];
-	const running = chat(other.callerUrl, {stream: true, max_tokens: 400});
-	await fleet.until(() => fleet.countHeld() > 0);
+	const running = sendChat(other.callerUrl, {stream: true, max_tokens: 400});
+	await fleet.waitUntil(() => fleet.countHeldTokens() > 0);
 	const start = fleet.clock.readMonotonic();
 	await fleet.killNode(fleet.nodes[dispatcher]);
-	const next = await fleet.settle(chat(other.callerUrl, {max_tokens: 1}));
+	const next = await fleet.settle(sendChat(other.callerUrl, {max_tokens: 1}));
 	expect(next.status).toBe(200);
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(3000);
-	expect(joinStream((await fleet.settle(running)).text)).toBe(countWords(400)); // eslint-disable-line unicorn/no-await-expression-member
+	expect(joinStream((await fleet.settle(running)).text)).toBe(buildTokenText(400)); // eslint-disable-line unicorn/no-await-expression-member
 });
 
 test('a new dispatcher counts the grants that other nodes hold', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const other = fleet.nodes[(dispatcher + 1) % 3];
-	const running = [1, 2].map(async () => chat(other.callerUrl, {stream: true, max_tokens: 150_000}, {'x-time-bound-ms': '8000'}));
-	await fleet.until(() => fleet.engines.every(engine => engine.heldTokens > 0));
+	const running = [1, 2].map(async () => sendChat(other.callerUrl, {stream: true, max_tokens: 150_000}, {'x-time-bound-ms': '8000'}));
+	await fleet.waitUntil(() => fleet.engines.every(engine => engine.heldTokens > 0));
 	await fleet.killNode(fleet.nodes[dispatcher]);
-	const refused = await fleet.settle(chat(other.callerUrl, {max_tokens: 100_000}, {'x-time-bound-ms': '4000'}));
+	const refused = await fleet.settle(sendChat(other.callerUrl, {max_tokens: 100_000}, {'x-time-bound-ms': '4000'}));
 	expect(readError(refused).ran).toBe('no');
 	expect(fleet.engines.map(engine => engine.taken)).toEqual([1, 1]);
 	await fleet.settle(Promise.all(running));
@@ -149,69 +149,69 @@
 test('serving goes on while the platform is down', async () => {
 	fleet.platform.faults = {down: true};
 	fleet.platform.cutWatches();
-	await fleet.pass(60_000, 50);
-	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => chat(node.callerUrl))));
+	await fleet.advanceTime(60_000, 50);
+	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => sendChat(node.callerUrl))));
 	expect(answers.map(answer => answer.status)).toEqual([200, 200, 200]);
 	expect(fleet.nodes[0].readStatus().isPlatformReachable).toBe(false);
 	fleet.platform.faults = {};
-	await fleet.until(() => fleet.nodes.every(node => node.readStatus().isPlatformReachable));
+	await fleet.waitUntil(() => fleet.nodes.every(node => node.readStatus().isPlatformReachable));
 }, 30_000);
 
 test('a node that starts while the platform is down waits and says so', async () => {
 	fleet.platform.faults = {down: true};
 	const node = await fleet.addNode();
-	await fleet.pass(2000);
+	await fleet.advanceTime(2000);
 	expect(node.phase).toBe('starting');
-	const refused = await fleet.settle(chat(node.callerUrl));
+	const refused = await fleet.settle(sendChat(node.callerUrl));
 	expect(readError(refused)).toMatchObject({code: 'node_not_ready', ran: 'no'});
 	fleet.platform.faults = {};
-	await fleet.until(() => node.phase === 'ready');
+	await fleet.waitUntil(() => node.phase === 'ready');
 });
 
 test('a takeover whose reply is lost is found out by reading', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	fleet.platform.faults = {loseReplies: 1};
 	await fleet.killNode(fleet.nodes[dispatcher]);
-	const answer = await fleet.settle(chat(fleet.nodes[(dispatcher + 1) % 3].callerUrl, {max_tokens: 1}));
+	const answer = await fleet.settle(sendChat(fleet.nodes[(dispatcher + 1) % 3].callerUrl, {max_tokens: 1}));
 	expect(answer.status).toBe(200);
 });
 
 test('a backend server that leaves gets no new work while its work in flight ends', async () => {
-	const running = chat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 300});
-	await fleet.until(() => fleet.countHeld() > 0);
+	const running = sendChat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 300});
+	await fleet.waitUntil(() => fleet.countHeldTokens() > 0);
 	const leaving = fleet.engines.findIndex(engine => engine.heldTokens > 0);
 	const object = fleet.platform.findObject('BackendServer', `engine-${leaving + 1}`);
 	fleet.platform.putObject({...object, spec: {...object?.spec, state: 'leaving'}} as Parameters<typeof fleet.platform.putObject>[0]);
-	await fleet.pass(1000);
-	await fleet.settle(Promise.all(Array.from({length: 8}, async () => chat(fleet.nodes[1].callerUrl, {max_tokens: 1}))));
+	await fleet.advanceTime(1000);
+	await fleet.settle(Promise.all(Array.from({length: 8}, async () => sendChat(fleet.nodes[1].callerUrl, {max_tokens: 1}))));
 	expect(fleet.engines[leaving].taken).toBe(1);
 	const answer = await fleet.settle(running);
-	expect(joinStream(answer.text)).toBe(countWords(300));
+	expect(joinStream(answer.text)).toBe(buildTokenText(300));
 });
 
 test('when the dispatcher dies while the platform is down, the next node stands in and yields when a term can be written', async () => {
 	const dispatcher = fleet.findDispatcherNode();
 	const others = fleet.nodes.filter((_, index) => index !== dispatcher);
-	const running = chat(others[0].callerUrl, {stream: true, max_tokens: 600});
-	await fleet.until(() => fleet.countHeld() > 0);
+	const running = sendChat(others[0].callerUrl, {stream: true, max_tokens: 600});
+	await fleet.waitUntil(() => fleet.countHeldTokens() > 0);
 	fleet.platform.faults = {down: true};
 	fleet.platform.cutWatches();
-	await fleet.pass(1000);
+	await fleet.advanceTime(1000);
 	const start = fleet.clock.readMonotonic();
 	await fleet.killNode(fleet.nodes[dispatcher]);
-	const answers = await fleet.settle(Promise.all(others.map(async node => chat(node.callerUrl, {max_tokens: 1}))));
+	const answers = await fleet.settle(Promise.all(others.map(async node => sendChat(node.callerUrl, {max_tokens: 1}))));
 	expect(answers.map(answer => answer.status)).toEqual([200, 200]);
 	expect(fleet.clock.readMonotonic() - start).toBeLessThan(4000);
 
 	fleet.platform.faults = {};
 	const readTerm = () => others[0].view.find('DispatcherTerm', `${standinFleet.service}@${standinFleet.region}`);
 	const before = readTerm()!.term;
-	await fleet.until(() => others.every(node => node.readStatus().isPlatformReachable) && readTerm()!.term === before + 1);
-	const later = await fleet.settle(Promise.all(others.map(async node => chat(node.callerUrl, {max_tokens: 1}))));
+	await fleet.waitUntil(() => others.every(node => node.readStatus().isPlatformReachable) && readTerm()!.term === before + 1);
+	const later = await fleet.settle(Promise.all(others.map(async node => sendChat(node.callerUrl, {max_tokens: 1}))));
 	expect(later.map(answer => answer.status)).toEqual([200, 200]);
 	const whole = await fleet.settle(running);
-	expect(joinStream(whole.text)).toBe(countWords(600));
-	await fleet.until(() => fleet.countHeld() === 0 && others.every(node => node.readStatus().pools.every(pool => pool.grants === 0)));
+	expect(joinStream(whole.text)).toBe(buildTokenText(600));
+	await fleet.waitUntil(() => fleet.countHeldTokens() === 0 && others.every(node => node.readStatus().pools.every(pool => pool.grants === 0)));
 }, 30_000);
 
 test('requests that were asking a paused dispatcher are served by the next one', async () => {
@@ -219,11 +219,11 @@
 	const others = fleet.nodes.filter((_, index) => index !== dispatcher);
 	const box = `box-${dispatcher + 1}`;
 	fleet.network.pause(box);
-	const asking = others.flatMap(node => Array.from({length: 60}, async () => chat(node.callerUrl, {max_tokens: 1}, {'x-time-bound-ms': '20000'})));
+	const asking = others.flatMap(node => Array.from({length: 60}, async () => sendChat(node.callerUrl, {max_tokens: 1}, {'x-time-bound-ms': '20000'})));
 	const answers = await fleet.settle(Promise.all(asking));
 	expect(answers.map(answer => answer.status)).toEqual(asking.map(() => 200));
 	fleet.network.restore(box);
-	await fleet.pass(8000);
-	expect(fleet.countHeld()).toBe(0);
+	await fleet.advanceTime(8000);
+	expect(fleet.countHeldTokens()).toBe(0);
 	expect(fleet.nodes.flatMap(node => node.readStatus().pools).reduce((sum, pool) => sum + pool.grants, 0)).toBe(0);
 }, 30_000);
