--- a/src/node/entry/addresses.ts
+++ b/src/node/entry/addresses.ts
@@ -1,34 +1,34 @@
-/** Which entry addresses callers are told to use. Pure. */
+/** Selects the entry addresses returned by `/v1/addresses`. Pure. */
 import {formatAddressToken, type AvailabilityZone, type Incarnation} from '../../common/index.js';
 
-/** One address of an answer. */
+/** One address in the response. */
 export type AddressEntry = {
 	url: string;
 	availabilityZone: string;
-	/** Token from which run keys are made: `TOKEN.UUID`. */
+	/** Address token; a caller builds a run key from it as `TOKEN.UUID`. */
 	incarnation: string;
 };
 
-/** Answer of `/v1/addresses`. */
+/** Response body of `/v1/addresses`. */
 export type AddressAnswer = {
 	addresses: AddressEntry[];
-	/** Seconds for which the answer may be kept. */
+	/** Seconds for which a caller may cache the response. */
 	lifetimeSeconds: number;
 };
 
-/** A node as far as addresses need it. */
+/** The fields of a node from which its address entry is built. */
 export type AddressableNode = {
 	callerUrl: string;
 	availabilityZone: string;
 	incarnation: Incarnation;
 };
 
-/** Addresses in one answer. */
+/** Maximum number of addresses in one response. */
 const maxAddresses = 8;
 
 /**
- * Orders the addresses: those of the caller's availability zone first, and within
- * a zone turned by a random number, so that callers do not all pick the same.
+ * Orders the addresses: those in the caller's availability zone first, the rest after them.
+ * Both groups are rotated by a random offset, so that callers spread over the nodes.
  */
 export function listAddresses(nodes: AddressableNode[], zone: AvailabilityZone, {second, random}: {second: number; random: () => number}): AddressEntry[] {
 	const sameZone = rotateList(nodes.filter(node => node.availabilityZone === zone), random());
--- a/src/node/entry/answer-sink.ts
+++ b/src/node/entry/answer-sink.ts
@@ -1,40 +1,40 @@
-/** Where an answer goes: to a caller's connection, or into a recording. */
+/** Destinations of a response: a caller's connection, a recording, or frames for another node. */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import {findAnswer, formatErrorBody, type Failure} from '../../common/index.js';
 import type {AnswerHead} from '../../rpc/index.js';
 
-/** Takes an answer chunk by chunk. */
+/** Receives a response chunk by chunk. */
 export abstract class AnswerSink {
 	/** Whether `start` has been called. */
 	abstract readonly hasStarted: boolean;
 
-	/** Fires when nobody waits for the answer any more. */
+	/** Aborted once the reader of the response has disconnected. */
 	abstract readonly disconnected: AbortSignal;
 
-	/** Whether more is waiting to be taken than should be; `waitForRoom` before writing on. */
+	/** Whether the write buffer is full; call `waitForDrain` before the next write. */
 	abstract readonly isFull: boolean;
 
-	/** Sends the head. Called once. */
+	/** Sends status and headers. Called once. */
 	abstract start(head: AnswerHead): void;
 
-	/** Sends a chunk. */
+	/** Sends a chunk of the body. */
 	abstract write(chunk: string | Uint8Array): void;
 
-	/** Resolves when there is room, so that a slow reader slows the backend server, or when the reader is gone. */
+	/** Resolves when the buffer has drained or the reader has disconnected; applies backpressure to the backend server. */
 	abstract waitForDrain(): Promise<void>;
 
-	/** Ends a whole answer. */
+	/** Ends a complete response. */
 	abstract end(): void;
 
-	/** Resolves when what was written has left the process, or can no longer leave it. */
+	/** Resolves when all written data has been handed to the operating system or the connection is closed. */
 	abstract flush(): Promise<void>;
 
-	/** Ends a short answer: a stream that cannot carry an error of its own is cut, so that its reader sees the lack. */
+	/** Aborts an incomplete response: the connection is reset, so that the reader sees that the response is truncated. */
 	abstract abort(): void;
 }
 
-/** Sends an answer over a caller's HTTP connection. */
+/** Sends a response over a caller's HTTP connection. */
 export class HttpAnswerSink extends AnswerSink {
 	readonly #response: ServerResponse;
 	readonly #disconnected = new AbortController();
@@ -116,7 +116,7 @@
 	}
 }
 
-/** Headers of an error answer. */
+/** Builds status and headers of an error response. */
 export function formatErrorHead(failure: Failure): AnswerHead {
 	const answer = findAnswer(failure);
 	const headers: Record<string, string> = {'content-type': 'application/json', 'x-cresshook-ran': answer.ran};
@@ -124,7 +124,7 @@
 		headers['retry-after'] = String(answer.retryAfterSeconds);
 	}
 
-	// OpenAI's clients repeat some statuses by themselves; a request that may have run must not be.
+	// OpenAI's clients retry some statuses on their own; a request that may have run must not be retried.
 	if (answer.ran !== 'no') {
 		headers['x-should-retry'] = 'false';
 	}
@@ -132,7 +132,7 @@
 	return {status: answer.status, headers};
 }
 
-/** Ends an answer with a failure: a whole error before the first chunk, an error event in a stream, a cut elsewhere. */
+/** Ends a response with a failure: an error response before the first chunk, an error event in an event stream, otherwise a connection reset. */
 export function sendFailure(sink: AnswerSink, failure: Failure, isEventStream: boolean): void {
 	const body = JSON.stringify(formatErrorBody(failure));
 	if (!sink.hasStarted) {
--- a/src/node/entry/answer-writer.ts
+++ b/src/node/entry/answer-writer.ts
@@ -1,4 +1,4 @@
-/** Writes a completion's chunks to the caller: as they come, or gathered into one whole answer. */
+/** Writes a completion to the caller, as a stream of chunks or as one complete response. */
 import {Buffer} from 'node:buffer';
 import type {Clock, Metrics} from '../../common/index.js';
 import {ChunkMerger, type JsonObject} from './chunk-merger.js';
@@ -11,11 +11,11 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Writes one request's answer, over one or more attempts. */
+/** Writes the response to one request across its attempts. */
 export class AnswerWriter {
 	/** Whether the caller asked for a stream. */
 	readonly isStream: boolean;
-	/** Number of answers asked for at once. */
+	/** Number of choices requested (`n`). */
 	readonly choiceCount: number;
 	readonly #request: CallerRequest;
 	readonly #completion: CompletionBody;
@@ -23,7 +23,7 @@
 	readonly #parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator};
 	readonly #isUsageRequested: boolean;
 	#merger: ChunkMerger;
-	/** Id of the first chunk; a continued answer keeps it. */
+	/** Id of the first chunk, kept when the completion continues on another engine. */
 	#completionId: unknown;
 	#deliveredText = '';
 	#deliveredChunks = 0;
@@ -32,7 +32,7 @@
 
 	constructor(request: CallerRequest, sink: AnswerSink, parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator}) {
 		if (request.completion === undefined) {
-			throw new TypeError('a completion is needed');
+			throw new TypeError('the request is not a completion');
 		}
 
 		this.#request = request;
@@ -45,40 +45,40 @@
 		this.#merger = this.#createMerger();
 	}
 
-	/** Whether any part of the answer has reached the caller. */
+	/** Whether any chunk has been sent to the caller. */
 	get hasDelivered(): boolean {
 		return this.#deliveredChunks > 0;
 	}
 
-	/** Milliseconds from arrival to the first token. */
+	/** Milliseconds from arrival to the first token; undefined before it. */
 	get timeToFirstToken(): number | undefined {
 		return this.#timeToFirstToken;
 	}
 
-	/** Whether the answer can go on elsewhere from what the caller has. */
+	/** Whether another engine can continue the completion from the text already delivered. */
 	get canContinue(): boolean {
 		return this.#request.serviceSpec.continuable
 			&& this.choiceCount === 1
 			&& buildContinuation(this.#request.operation, this.#completion, this.#deliveredText, this.#deliveredChunks) !== undefined;
 	}
 
-	/** Whether the caller takes the answer more slowly than it comes. */
+	/** Whether the caller reads more slowly than the engine generates. */
 	get isBackpressured(): boolean {
 		return this.#sink.isFull;
 	}
 
-	/** Resolves when the caller has caught up or is gone. */
+	/** Resolves when the caller has caught up or has disconnected. */
 	async waitForDrain(): Promise<void> {
 		await this.#sink.waitForDrain();
 	}
 
-	/** Prepares for an attempt on another engine. */
+	/** Prepares for the next attempt; merged chunks of an earlier attempt are discarded. */
 	startAttempt(): void {
 		this.#isContinued = this.hasDelivered;
 		this.#merger = this.#createMerger();
 	}
 
-	/** Makes the JSON text for the engine: always a stream, with usage, at a priority of which the least goes first. */
+	/** Builds the JSON body for the engine: always streaming, with usage. The engine runs lower priorities first. */
 	buildEngineBody(priority: number): string {
 		const body = this.#isContinued
 			? buildContinuation(this.#request.operation, this.#completion, this.#deliveredText, this.#deliveredChunks) ?? this.#completion
@@ -89,7 +89,7 @@
 		});
 	}
 
-	/** Takes the next checked chunk. */
+	/** Writes or merges the next verified chunk. */
 	writeChunk(data: string, chunk: JsonObject): void {
 		this.#timeToFirstToken ??= this.#parts.clock.readMonotonic() - this.#request.arrivedAt;
 		this.#recordUsage(chunk.usage as Usage | undefined);
@@ -116,7 +116,7 @@
 		this.#sink.write(`data: ${text}\n\n`);
 	}
 
-	/** Ends the answer. */
+	/** Ends the response. */
 	finish(): void {
 		if (this.isStream) {
 			this.#sink.write('data: [DONE]\n\n');
@@ -146,7 +146,7 @@
 	}
 
 	#recordUsage(usage: Usage | undefined): void {
-		// A continued prompt is longer than the body by what was already answered.
+		// A continued prompt also contains the text already generated, which the body does not.
 		if (usage?.prompt_tokens !== undefined && !this.#isContinued) {
 			this.#parts.estimator.update(this.#request.service, this.#request.body.length, usage.prompt_tokens);
 		}
--- a/src/node/entry/caller-request.ts
+++ b/src/node/entry/caller-request.ts
@@ -1,14 +1,14 @@
-/** A caller's request, checked and understood. */
+/** A caller's validated request. */
 import type {
 	Failure, Incarnation, OrganisationId, PoolId, RequestId, RunKey, ServiceName,
 } from '../../common/index.js';
 import type {PromptPrefixes} from '../dispatch/index.js';
 import type {SpecOf} from '../../store/index.js';
 
-/** How the request is run: on an engine as a completion, or on a plain service as it is. */
+/** Kind of request: a chat or text completion on an engine, or a call proxied unchanged to a plain service. */
 export type Operation = 'chat' | 'text' | 'plain';
 
-/** JSON object of a completion request; only what the system reads is named. */
+/** Body of a completion request; only the fields read here are typed. */
 export type CompletionBody = Record<string, unknown> & {
 	model: string;
 	stream?: boolean;
@@ -23,45 +23,45 @@
 	pool: PoolId;
 	operation: Operation;
 	method: string;
-	/** Path and query at the backend server. */
+	/** Path and query sent to the backend server. */
 	path: string;
-	/** Headers for a plain service. */
+	/** Headers sent to a plain service; empty for completions. */
 	headers: Record<string, string>;
-	/** The caller's own headers as far as the request depends on them, its key included; passed to the owner of a run key. */
+	/** The caller's headers that affect the request, including the API key; forwarded to the owner of a run key. */
 	rawHeaders: Record<string, string>;
-	/** The body as received. */
+	/** Unparsed body. */
 	body: Uint8Array;
-	/** The body of a completion, parsed. */
+	/** Parsed body of a completion; undefined for plain calls. */
 	completion: CompletionBody | undefined;
-	/** Estimated tokens of the prompt. */
+	/** Estimated prompt length in tokens. */
 	promptTokens: number;
-	/** Hashes of the prompt's beginnings. */
+	/** Hashes of the prompt's prefixes, for cache-aware placement. */
 	prefixes: PromptPrefixes;
-	/** Tokens of output to hold memory for. */
+	/** Output tokens for which memory is reserved. */
 	outputTokens: number;
 	/** Monotonic time of arrival, in milliseconds. */
 	arrivedAt: number;
-	/** Monotonic time by which the caller has an answer or an error, in milliseconds. */
+	/** Monotonic time by which the caller must have a response or an error, in milliseconds. */
 	deadline: number;
-	/** Whether running it twice does no harm. */
+	/** Whether the request may run more than once. */
 	isRepeatable: boolean;
 	runKey: RunKey | undefined;
 };
 
-/** What the caller's side keeps for the record of one request. */
+/** Outcome of a request, for logs and metrics. */
 export type RequestOutcome = {
-	/** Absent when the whole answer was given. */
+	/** Undefined if the response was complete. */
 	failure?: Failure;
-	/** Milliseconds from arrival to the first token or byte; absent where there was none. */
+	/** Milliseconds from arrival to the first token or byte; undefined if there was none. */
 	timeToFirstToken?: number;
 };
 
-/** Names the request on the engine for one attempt: engines know attempts, callers know requests. */
+/** Formats the id under which an engine runs one attempt; the first attempt uses the request id itself. */
 export function formatAttemptId(requestId: RequestId, attempt: number): RequestId {
 	return (attempt === 1 ? requestId : `${requestId}-${attempt}`) as RequestId;
 }
 
-/** Makes a request id that tells which entry holds it, so that an orphan's owner can be found. */
+/** Formats a request id that contains its entry's id, so that the owner of an orphaned request can be found. */
 export function formatRequestId(incarnation: Incarnation, count: number): RequestId {
 	return `${incarnation.split('.')[0]}.${count.toString(36)}` as RequestId;
 }
--- a/src/node/entry/chunk-checker.ts
+++ b/src/node/entry/chunk-checker.ts
@@ -1,25 +1,25 @@
-/** Checks each event of an answer: that it belongs to the request, comes in order, and that the answer is whole. Pure. */
+/** Verifies the events of a completion stream: order, request id and completeness. Pure. */
 import {finishMarker, type EngineEvent} from '../../backends/index.js';
 import type {RequestId} from '../../common/index.js';
 import type {JsonObject} from './chunk-merger.js';
 import type {Operation} from './caller-request.js';
 
-/** What an event turned out to be. */
+/** Result of checking one event. */
 export type CheckedEvent =
-	/** The next chunk. */
+	/** The next chunk in sequence. */
 	| {kind: 'chunk'; chunk: JsonObject}
-	/** The marker of a whole answer. */
+	/** The finish marker; the completion is complete. */
 	| {kind: 'finished'}
-	/** Seen before; to be left out. */
+	/** A duplicate of an earlier event; ignored. */
 	| {kind: 'repeated'}
-	/** Events are missing before it, or it cannot be read, or the marker came too early: resume from the last good one. */
+	/** Sequence gap, unparsable event or premature finish marker; resume after the last valid event. */
 	| {kind: 'broken'; reason: string}
-	/** A chunk of another request. */
+	/** A chunk that belongs to another request. */
 	| {kind: 'crossed'};
 
 const idPrefixes = {chat: 'chatcmpl-', text: 'cmpl-', plain: ''} as const;
 
-/** Follows one attempt on one engine. */
+/** Checks the event stream of one attempt on one engine. */
 export class ChunkChecker {
 	readonly #expectedId: string;
 	#lastSequence = 0;
@@ -32,7 +32,7 @@
 		}
 	}
 
-	/** Sequence number of the last good event; 0 before the first. */
+	/** Sequence number of the last valid event; 0 before the first. */
 	get lastSequence(): number {
 		return this.#lastSequence;
 	}
@@ -44,7 +44,7 @@
 		}
 
 		if (event.sequence !== this.#lastSequence + 1) {
-			return {kind: 'broken', reason: `event ${event.sequence} came after ${this.#lastSequence}`};
+			return {kind: 'broken', reason: `event ${event.sequence} follows event ${this.#lastSequence}`};
 		}
 
 		if (event.data === finishMarker) {
@@ -56,7 +56,7 @@
 
 	#checkMarker(): CheckedEvent {
 		if (this.#unfinishedChoices.size > 0) {
-			return {kind: 'broken', reason: 'the finish marker came before every choice had ended'};
+			return {kind: 'broken', reason: 'finish marker received before every choice had finished'};
 		}
 
 		this.#lastSequence++;
@@ -66,7 +66,7 @@
 	#checkChunk(event: EngineEvent): CheckedEvent {
 		const chunk = parseChunk(event.data);
 		if (chunk === undefined) {
-			return {kind: 'broken', reason: 'a chunk is not a JSON object'};
+			return {kind: 'broken', reason: 'chunk is not a JSON object'};
 		}
 
 		if (chunk.id !== this.#expectedId) {
--- a/src/node/entry/chunk-merger.ts
+++ b/src/node/entry/chunk-merger.ts
@@ -1,20 +1,19 @@
 /**
- * Puts the chunks of a streamed completion together into one whole answer.
+ * Merges the chunks of a streamed completion into one complete response.
  *
- * Engines are always asked for a stream, also when the caller wants a whole
- * answer, since only a stream can be checked piece by piece and resumed.
- * The rule is generic, so that fields newer than this code survive: strings of a
- * delta are joined, lists are merged by `index`, anything else is replaced.
+ * Engines always stream, because only a stream can be verified event by event and resumed.
+ * The merge is generic so that unknown fields are kept: strings of a delta are concatenated,
+ * lists are merged by `index`, anything else is replaced.
  */
 import type {Operation} from './caller-request.js';
 
 /** A JSON object. */
 export type JsonObject = Record<string, unknown>;
 
-/** Strings that name a thing and are sent once or repeated; they are not joined. */
+/** String fields that engines send once or repeat unchanged, so they are replaced instead of concatenated. */
 const nonConcatenatedKeys = new Set(['id', 'role', 'type', 'name', 'object', 'model', 'finish_reason']);
 
-/** Collects chunks. */
+/** Accumulates the chunks of one completion. */
 export class ChunkMerger {
 	readonly #operation: Operation;
 	#fields: JsonObject = {};
@@ -22,7 +21,7 @@
 
 	readonly #createdSecond: number;
 
-	/** `createdSecond` is the Unix second that stands in the answer when the engine names none. */
+	/** `createdSecond` is the Unix time in seconds used for `created` if the engine sends none. */
 	constructor(operation: Operation, createdSecond: number) {
 		this.#operation = operation;
 		this.#createdSecond = createdSecond;
@@ -32,7 +31,7 @@
 	addChunk(chunk: JsonObject): void {
 		const {choices, ...head} = chunk;
 		for (const [key, value] of Object.entries(head)) {
-			// Chunks before the last carry `usage: null`.
+			// Every chunk but the last has `usage: null`, which must not overwrite a value.
 			if (value !== null) {
 				this.#fields[key] = value;
 			}
@@ -44,7 +43,7 @@
 		}
 	}
 
-	/** Makes the whole answer in the shape that a request without `stream` gets. */
+	/** Builds the response body of a request without `stream`. */
 	build(): JsonObject {
 		const choices = [...this.#choices.entries()].sort(([left], [right]) => left - right).map(([, choice]) => choice);
 		const created = Number(this.#fields.created ?? 0) > 0 ? this.#fields.created : this.#createdSecond;
--- a/src/node/entry/completion-run.ts
+++ b/src/node/entry/completion-run.ts
@@ -1,9 +1,8 @@
 /**
  * Runs one completion from admission to its last token.
  *
- * A broken stream is resumed on the same engine. When the engine is gone the
- * request runs elsewhere if that can do no harm; else it is continued from the
- * tokens received, if the service allows; else it ends in a clear error.
+ * A broken stream is resumed on the same engine. If the engine is lost, a repeatable request is retried on another
+ * engine, or continued there from the text delivered so far if the service allows it; otherwise it fails.
  */
 import {Right, type Either} from 'purify-ts';
 import type {
@@ -22,7 +21,7 @@
 import type {RetryBudget} from './retry-budget.js';
 import type {TokenEstimator} from './token-estimator.js';
 
-/** What runs need from the entry. */
+/** Dependencies of a completion run. */
 export type CompletionRunParts = {
 	clock: Clock;
 	logger: Logger;
@@ -34,25 +33,26 @@
 	estimator: TokenEstimator;
 };
 
-/** Resumes without a new event in between before the engine counts as gone. */
+/** Consecutive resumes without a new event after which the engine counts as lost. */
 const maxResumes = 4;
+/** Delay before the first resume, in milliseconds; doubles with each failed resume. */
 const initialResumeDelay = 50;
 
-/** Engines tried for one request. */
+/** Maximum number of engines tried for one request. */
 const maxAttempts = 4;
 
-/** How one attempt on one engine ended. */
+/** Result of one attempt on one engine. */
 type AttemptResult =
 	| {kind: 'finished'}
-	/** The request cannot succeed anywhere, or must not be tried again. */
+	/** The engine rejected the request, which is not retried. */
 	| {kind: 'failed'; failure: Failure}
-	/** Refused before running; free to go elsewhere. */
+	/** Refused before it ran; any request may be retried on another engine. */
 	| {kind: 'refused'; failure: Failure}
-	/** The engine is gone and may have run it. */
+	/** The engine was lost and may have run the request. */
 	| {kind: 'lost'; failure: Failure}
 	| {kind: 'aborted'};
 
-/** One completion being served. */
+/** Serves one completion. */
 export class CompletionRun {
 	readonly #parts: CompletionRunParts;
 	readonly #request: CallerRequest;
@@ -69,7 +69,7 @@
 		this.#writer = new AnswerWriter(request, sink, parts);
 	}
 
-	/** Serves the request; the sink has been ended when this resolves. */
+	/** Serves the request; resolves after the sink has been ended. */
 	async run(): Promise<RequestOutcome> {
 		const failure = await this.#tryEngines();
 		if (failure !== undefined) {
@@ -101,7 +101,7 @@
 		}
 	}
 
-	/** Decides after an attempt: undefined when the answer is whole, a failure, or another attempt. */
+	/** Returns `retry`, the failure to report, or undefined if the response is complete. */
 	#evaluateAttempt(result: AttemptResult, attempt: number, mayHaveRun: boolean): Failure | 'retry' | undefined {
 		if (result.kind === 'finished') {
 			return undefined;
@@ -115,7 +115,7 @@
 			return result.failure;
 		}
 
-		// A refusal after an earlier attempt that may have run must not claim that nothing ran.
+		// If an earlier attempt may have run, a later refusal must not report that nothing ran.
 		const failure: Failure = mayHaveRun ? {...result.failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : result.failure;
 		if (result.kind === 'lost' && !this.#canRetry()) {
 			return failure;
@@ -128,7 +128,7 @@
 		this.#parts.metrics.incrementCounter('retries', {service: this.#request.service});
 		this.#parts.logger.info({
 			event: 'retry', request: this.#request.requestId, attempt, reason: failure.message, continued: this.#writer.hasDelivered,
-		}, 'request runs again elsewhere');
+		}, 'retrying request on another engine');
 		return 'retry';
 	}
 
@@ -142,16 +142,16 @@
 
 	async #useGrant(grant: Grant, usableUntil: number, attemptId: RequestId): Promise<AttemptResult> {
 		if (this.#parts.clock.readMonotonic() > usableUntil) {
-			// The reply took longer than the grant lives: the dispatcher may have given its memory to others.
+			// The grant expired in transit; the dispatcher may already have reassigned its memory.
 			this.#parts.grants.release(grant);
-			return {kind: 'refused', failure: createFailure('no_dispatcher', 'the grant arrived too late to be used')};
+			return {kind: 'refused', failure: createFailure('no_dispatcher', 'the grant expired before it arrived')};
 		}
 
 		const result = await this.#runOnEngine(grant, attemptId);
 		if (result.kind === 'finished' || result.kind === 'refused') {
 			this.#parts.grants.release(grant);
 		} else {
-			// The caller does not wait for the engine's word; the memory does.
+			// The caller gets its error at once; the memory is released only when the engine has confirmed the cancellation.
 			void this.#cancelAndRelease(grant, attemptId);
 		}
 
@@ -216,7 +216,7 @@
 		return this.#parts.engines.resumeCompletion(grant.url, attemptId, checker.lastSequence, this.#cancellation.signal);
 	}
 
-	/** Judges a stream that did not open; undefined when a resume is worth trying. */
+	/** Evaluates a stream that failed to open; returns undefined if it should be resumed. */
 	#evaluateOpenFailure(failure: BackendFailure, checker: ChunkChecker, isFirst: boolean): AttemptResult | undefined {
 		if (failure.kind === 'unknown_request' && (!isFirst || checker.lastSequence > 0)) {
 			return {kind: 'lost', failure: this.#createLossFailure(checker, false)};
@@ -229,7 +229,7 @@
 		switch (failure.kind) {
 			case 'unreached':
 			case 'busy': {
-				return {kind: 'refused', failure: createFailure('backend_busy', `the backend server did not take the request: ${failure.message}`)};
+				return {kind: 'refused', failure: createFailure('backend_busy', `the backend server did not accept the request: ${failure.message}`)};
 			}
 
 			case 'rejected':
@@ -252,7 +252,7 @@
 				}
 			}
 
-			// Only a caller that is slower than its answer is waited for: a wait costs as much as a token.
+			// Awaiting costs as much as forwarding a token, so it is skipped unless the sink is full.
 			if (this.#writer.isBackpressured) {
 				await this.#writer.waitForDrain();
 			}
@@ -261,7 +261,7 @@
 		return 'broken';
 	}
 
-	/** Takes one event; returns how the stream ended, or undefined while it goes on. */
+	/** Handles one event; returns how the stream ended, or undefined if it continues. */
 	#handleEvent(event: EngineEvent, checker: ChunkChecker): 'finished' | 'broken' | 'crossed' | undefined {
 		if (this.#cancellation.signal.aborted) {
 			return 'broken';
@@ -289,7 +289,7 @@
 			}
 
 			case 'crossed': {
-				this.#logStreamBroken('a chunk of another request');
+				this.#logStreamBroken('chunk belongs to another request');
 				this.#parts.metrics.incrementCounter('crossed_chunks', {service: this.#request.service});
 				return 'crossed';
 			}
@@ -297,16 +297,16 @@
 	}
 
 	#logStreamBroken(reason: string): void {
-		this.#parts.logger.warn({event: 'stream_broken', request: this.#request.requestId, reason}, 'an answer stream was given up');
+		this.#parts.logger.warn({event: 'stream_broken', request: this.#request.requestId, reason}, 'completion stream broken');
 	}
 
 	#createLossFailure(checker: ChunkChecker, wasCrossed: boolean): Failure {
 		if (wasCrossed) {
-			return createFailure('answer_crossed', 'the backend server sent a chunk of another request and did not go on with this one', {ran: this.#writer.hasDelivered ? 'partly' : 'maybe'});
+			return createFailure('answer_crossed', 'the backend server sent a chunk of another request and did not continue this one', {ran: this.#writer.hasDelivered ? 'partly' : 'maybe'});
 		}
 
 		return checker.lastSequence === 0
-			? createFailure('backend_unconfirmed', 'the backend server was lost before it answered; the request may have run')
-			: createFailure('backend_lost', 'the backend server was lost in the middle of the answer');
+			? createFailure('backend_unconfirmed', 'the connection to the backend server was lost before it responded; the request may have run')
+			: createFailure('backend_lost', 'the connection to the backend server was lost during the response');
 	}
 }
--- a/src/node/entry/continuation.ts
+++ b/src/node/entry/continuation.ts
@@ -1,11 +1,11 @@
-/** Builds the request that goes on with an answer whose engine was lost. Pure. */
+/** Builds the request that continues a completion after its engine was lost. Pure. */
 import type {CompletionBody, Operation} from './caller-request.js';
 
 /**
- * Adds the text received to the prompt and lowers the output limit by the tokens received.
+ * Appends the received text to the prompt and lowers the output limit by the received tokens.
  *
- * Returns undefined where an answer cannot go on from its text alone: tools, a
- * prompt that is not one string, or an output limit already reached.
+ * Returns undefined if the text alone is not enough to continue: tools, a response format,
+ * a prompt that is not a single string, or an output limit already reached.
  */
 export function buildContinuation(operation: Operation, body: CompletionBody, receivedText: string, receivedTokens: number): CompletionBody | undefined {
 	if (receivedText === '' || body.tools !== undefined || body.response_format !== undefined) {
--- a/src/node/entry/deadline-sink.ts
+++ b/src/node/entry/deadline-sink.ts
@@ -1,9 +1,9 @@
-/** A sink whose reader stops waiting at a bound of its own. */
+/** A sink whose reader has a deadline of its own. */
 import {joinSignals} from '../../common/index.js';
 import type {AnswerHead} from '../../rpc/index.js';
 import {AnswerSink} from './answer-sink.js';
 
-/** Passes an answer on until a signal fires. */
+/** Forwards a response to another sink; counts as disconnected once the deadline signal is aborted. */
 export class DeadlineSink extends AnswerSink {
 	override readonly disconnected: AbortSignal;
 	readonly #sink: AnswerSink;
@@ -15,7 +15,7 @@
 		this.disconnected = joinSignals([sink.disconnected, deadline]).signal;
 	}
 
-	/** Whether the whole answer has been passed on. */
+	/** Whether the response has been ended or aborted. */
 	get hasEnded(): boolean {
 		return this.#hasEnded;
 	}
--- a/src/node/entry/entry.ts
+++ b/src/node/entry/entry.ts
@@ -1,4 +1,4 @@
-/** The callers' side of a node: takes requests, bounds them, runs them, and keeps account of them. */
+/** The caller-facing side of a node: accepts requests, enforces limits and deadlines, runs them, and records their outcomes. */
 import {Buffer} from 'node:buffer';
 import {setMaxListeners} from 'node:events';
 import type {IncomingHttpHeaders} from 'node:http';
@@ -30,7 +30,7 @@
 import {RunKeyStore} from './run-keys.js';
 import {TokenEstimator} from './token-estimator.js';
 
-/** What an entry needs. */
+/** Dependencies of an entry. */
 export type EntryParts = {
 	settings: EntrySettings;
 	clock: Clock;
@@ -51,7 +51,7 @@
 
 const bytesPerMebibyte = 1_048_576;
 
-/** Serves callers. */
+/** Serves callers' requests. */
 export class Entry {
 	readonly runKeys: RunKeyStore;
 	readonly #parts: EntryParts;
@@ -66,7 +66,7 @@
 
 	constructor(parts: EntryParts) {
 		this.#parts = parts;
-		// Every request in progress listens to this one signal.
+		// Every request in progress adds a listener to this signal, which would trigger Node's leak warning.
 		setMaxListeners(0, this.#stopController.signal);
 		this.#retryBudget = new RetryBudget(parts.settings.retryShare);
 		this.runKeys = new RunKeyStore(parts.clock, parts.incarnation, parts.settings.runKeyLifetimeSeconds * 1000, parts.settings.keptOutcomesMebibytes * bytesPerMebibyte);
@@ -79,22 +79,22 @@
 		});
 	}
 
-	/** Requests in progress. */
+	/** Number of requests in progress. */
 	get inProgress(): number {
 		return this.#inProgress;
 	}
 
-	/** Serves a completion; the sink has been ended when this resolves. */
+	/** Serves a completion; resolves after the sink has been ended. */
 	async serveCompletion(raw: RawRequest, operation: 'chat' | 'text', sink: AnswerSink): Promise<void> {
 		await this.#serve(raw, sink, async parts => parseCompletion(raw, operation, parts));
 	}
 
-	/** Serves a call on a plain service; the sink has been ended when this resolves. */
+	/** Serves a call to a plain service; resolves after the sink has been ended. */
 	async servePlain(raw: RawRequest, sink: AnswerSink): Promise<void> {
 		await this.#serve(raw, sink, async parts => parsePlainCall(raw, parts));
 	}
 
-	/** Serves a keyed request that another node has passed on. */
+	/** Serves a request with a run key that another node has forwarded. */
 	async * serveForwarded(keyed: KeyedRequest, signal: AbortSignal): AsyncGenerator<AnswerFrame> {
 		const parsed = parseRunKey(keyed.runKey);
 		const parts = parsed.isRight() ? parsed.extract() : undefined;
@@ -108,7 +108,7 @@
 		yield * sink.read();
 	}
 
-	/** Answers which addresses callers may use. */
+	/** Lists the entry addresses that callers may use, those in their availability zone first. */
 	listAddresses(zone: AvailabilityZone): AddressAnswer {
 		return {
 			addresses: listAddresses(this.#parts.members.listReady(), zone, {second: this.runKeys.readSecond(), random: this.#parts.random}),
@@ -116,13 +116,13 @@
 		};
 	}
 
-	/** Lists the models that the owner of a key may use. */
+	/** Lists the models that the owner of the request's API key may use. */
 	listModels(headers: IncomingHttpHeaders): Either<Failure, string[]> {
 		return authenticate(headers, this.#parts.view).map(organisation =>
 			organisation.services.filter(name => this.#parts.view.find('Service', name)?.type === 'engine'));
 	}
 
-	/** Ends every request in progress with an error. */
+	/** Aborts every request in progress with an error. */
 	abortRequests(): void {
 		this.#stopController.abort();
 	}
@@ -140,8 +140,8 @@
 		try {
 			await this.#serveParsed(await parse(this.#createParseContext()), sink);
 		} catch (error) {
-			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'a request failed for a reason of the node\'s own');
-			sendFailure(sink, createFailure('internal', 'the node failed; whether the request ran is not known'), sink.hasStarted);
+			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'request failed with an internal error');
+			sendFailure(sink, createFailure('internal', 'internal error; it is not known whether the request ran'), sink.hasStarted);
 		} finally {
 			await sink.flush();
 			this.#inProgress--;
@@ -181,7 +181,7 @@
 			const request = parsed.extract() as CallerRequest;
 			this.#record(request, await this.#keyedRouter.serveLocally(request, parts, sink));
 		} catch (error) {
-			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'a passed-on request failed');
+			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'forwarded request failed with an internal error');
 			sink.abort();
 		} finally {
 			this.#inProgress--;
@@ -212,15 +212,15 @@
 
 	#findRefusal(bodyLength: number): Failure | undefined {
 		if (this.#parts.view.revision === 0) {
-			return createFailure('node_not_ready', 'this node has not read its configuration yet; use another address');
+			return createFailure('node_not_ready', 'this node has not loaded its configuration yet; use another address');
 		}
 
 		if (this.#inProgress >= this.#parts.settings.requestLimit) {
-			return createFailure('node_busy', 'this node serves as many requests as it may; use another address');
+			return createFailure('node_busy', 'this node has reached its request limit; use another address');
 		}
 
 		if (this.#bufferedBytes + bodyLength > this.#parts.settings.heldBodiesMebibytes * bytesPerMebibyte) {
-			return createFailure('node_busy', 'this node holds as many request bodies as it may; use another address');
+			return createFailure('node_busy', 'this node has reached its limit for buffered request bodies; use another address');
 		}
 
 		return undefined;
--- a/src/node/entry/frame-sink.ts
+++ b/src/node/entry/frame-sink.ts
@@ -1,9 +1,9 @@
-/** Turns an answer into frames for the node that passed a keyed request on. */
+/** Encodes a response as frames for the node that forwarded the request. */
 import {Buffer} from 'node:buffer';
 import type {AnswerFrame, AnswerHead} from '../../rpc/index.js';
 import {AnswerSink} from './answer-sink.js';
 
-/** Frames held for a reader that is slower than the answer. */
+/** Frames queued for a slow reader before the sink counts as full. */
 const maxQueuedFrames = 64;
 
 /** A sink that is read as a sequence of frames. */
@@ -65,10 +65,10 @@
 	}
 
 	override async flush(): Promise<void> {
-		// The reader of the frames waits for them itself.
+		// Nothing to wait for: the reader pulls the frames from the queue.
 	}
 
-	/** Reads the frames until the answer has ended or the reader is gone. */
+	/** Yields the frames until the response has ended or the reader has disconnected. */
 	async * read(): AsyncGenerator<AnswerFrame> {
 		for (;;) {
 			const frame = this.#frames.shift();
--- a/src/node/entry/grant-client.ts
+++ b/src/node/entry/grant-client.ts
@@ -1,4 +1,4 @@
-/** Asks dispatchers for grants, keeps account of those held, and gives them back. */
+/** Requests grants from dispatchers, tracks the active ones, and releases them. */
 import {type Either, Left, Right} from 'purify-ts';
 import {
 	Child, createFailure, waitFor, type BackendServerId, type Clock, type Failure, type GrantId, type Incarnation, type PoolId, type RequestId,
@@ -6,48 +6,49 @@
 import type {AdmitRequest, Grant, Heartbeat} from '../dispatch/index.js';
 import type {CallerRequest} from './caller-request.js';
 
-/** Whom to ask about a pool. */
+/** Pool and dispatcher to which an admission request is sent. */
 export type AdmissionTarget = {
 	pool: PoolId;
-	/** Ask the node that stands in for the holder, in case the holder is dead and the platform down. */
+	/** Whether to ask the holder's fallback node, which takes over when the holder has failed and the platform is unavailable. */
 	isStandIn: boolean;
 };
 
-/** The dispatchers as an entry reaches them, wherever they run. */
+/** Client for the dispatchers, local or remote. */
 export abstract class DispatcherClient {
 	/**
-	 * Asks the pool's dispatcher, or the node that would stand in for it.
+	 * Sends an admission request to the pool's dispatcher or its fallback node.
 	 *
-	 * Fails with `no_dispatcher` when that one does not decide or cannot be reached; nothing ran then.
+	 * Fails with `no_dispatcher` if that node does not schedule the pool or cannot be reached; nothing ran in that case.
 	 */
 	abstract admit(request: AdmitRequest, target: AdmissionTarget, signal: AbortSignal): Promise<Either<Failure, Grant>>;
 
-	/** Delivers a heartbeat. */
+	/** Sends a heartbeat to the pool's dispatcher. */
 	abstract sendHeartbeat(heartbeat: Heartbeat): Promise<Either<Failure, true>>;
 }
 
-/** A grant that an entry holds. */
+/** A grant with the time until which the entry may use it. */
 export type HeldGrant = {
 	grant: Grant;
-	/** Monotonic time after which it must not be used, in milliseconds. */
+	/** Monotonic time after which the grant must not be used, in milliseconds. */
 	usableUntil: number;
 };
 
+/** Delay before asking again when no dispatcher was found, in milliseconds. */
 const retryDelay = 50;
-/** Milliseconds between heartbeats while grants are held; half the messages of a second's, and orphans still back within 10 s. */
+/** Milliseconds between heartbeats while grants are active. Half the messages of a 1 s interval, and orphaned grants are still reclaimed within 10 s. */
 const heartbeatInterval = 2000;
 
-/** Releases are gathered this long before they are sent, in milliseconds. */
+/** Time for which releases are batched before they are sent, in milliseconds. */
 const releaseDelay = 20;
 
 type PoolAccount = {
 	active: Map<GrantId, Grant>;
 	released: GrantId[];
-	/** Monotonic time of the last heartbeat that arrived. */
+	/** Monotonic time of the last delivered heartbeat, in milliseconds. */
 	lastSentAt: number;
 };
 
-/** The grants of one entry. */
+/** Obtains, tracks and releases the grants of one entry. */
 export class GrantClient extends Child {
 	override readonly name = 'grant-client';
 	readonly #dispatchers: DispatcherClient;
@@ -65,10 +66,10 @@
 		this.#entryUrl = entryUrl;
 	}
 
-	/** Asks until a dispatcher answers, the request's deadline has passed, or the signal is aborted. */
+	/** Asks the pool's dispatcher and its fallback in turn until one answers or the signal is aborted. */
 	async obtain(request: CallerRequest, attemptId: RequestId, excluded: BackendServerId[], signal: AbortSignal): Promise<Either<Failure, HeldGrant>> {
-		let failure = createFailure('no_dispatcher', `no node decides for ${request.pool} at present`);
-		// Each ask has a time of its own: a grant's life counts from before the ask that brought it.
+		let failure = createFailure('no_dispatcher', `no node schedules ${request.pool} at present`);
+		// A grant's lifetime is counted from before its own request was sent, so each iteration reads the clock again.
 		for (let isStandIn = false; !signal.aborted; isStandIn = !isStandIn) {
 			const requestedAt = this.#clock.readMonotonic();
 			const result = await this.#dispatchers.admit(this.#createAdmitRequest(request, attemptId, excluded, requestedAt), {pool: request.pool, isStandIn}, signal);
@@ -93,7 +94,7 @@
 		return Left(failure);
 	}
 
-	/** Gives a grant back. */
+	/** Releases a grant; releasing it twice has no effect. */
 	release(grant: Grant): void {
 		const account = this.#findAccount(grant.pool);
 		if (account.active.delete(grant.grantId)) {
@@ -102,14 +103,14 @@
 		}
 	}
 
-	/** Lists the grants held of a pool, or of all. */
+	/** Lists the active grants of one pool, or of all pools. */
 	listActive(pool?: PoolId): Grant[] {
 		return [...this.#accounts.entries()]
 			.filter(([name]) => pool === undefined || name === pool)
 			.flatMap(([, account]) => [...account.active.values()]);
 	}
 
-	/** Sends heartbeats: every two seconds while grants are held, and soon after a release. */
+	/** Sends heartbeats periodically while grants are active, and shortly after each release. */
 	override async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			await this.#waitForWork(signal);
@@ -149,7 +150,7 @@
 	async #waitForWork(signal: AbortSignal): Promise<void> {
 		const waiting = new AbortController();
 		const stop = () => {
-			// A reason of its own spares the error object that `abort` makes by default.
+			// An explicit reason avoids the cost of the error object that `abort` creates by default.
 			waiting.abort('woken');
 		};
 
@@ -176,7 +177,7 @@
 			pool, entry: this.#entry, entryUrl: this.#entryUrl, released, activeCount: account.active.size,
 		});
 		if (result.isLeft()) {
-			// A new dispatcher does not know these grants any more; releasing them again is harmless.
+			// Sent again with the next heartbeat: a release is idempotent, and a new dispatcher ignores unknown grants.
 			account.released.unshift(...released);
 			return;
 		}
--- a/src/node/entry/headers.ts
+++ b/src/node/entry/headers.ts
@@ -1,8 +1,8 @@
-/** Names of the headers that callers may send; `docs/CALLERS.md` explains them. */
+/** Names of the request headers for callers; see `docs/CALLERS.md`. */
 
-/** Time bound of the request, in whole milliseconds. */
+/** Time limit of the request, in whole milliseconds. */
 export const boundHeader = 'x-time-bound-ms';
-/** `true` marks a request that must run at most once. */
+/** `true` marks a request that must not be retried once it may have run. */
 export const notRepeatableHeader = 'x-not-repeatable';
-/** The caller's run key. */
+/** Run key: requests with the same key run at most once in total. */
 export const runKeyHeader = 'x-run-key';
--- a/src/node/entry/keyed-router.ts
+++ b/src/node/entry/keyed-router.ts
@@ -1,9 +1,8 @@
 /**
- * Brings a request with a run key to the one process that may run it.
+ * Routes a request with a run key to the only process that may run it.
  *
- * The owner is this node, or the node whose address the key carries, or the
- * successor that inherited its outcomes. When nobody answers for the key's
- * incarnation any more, its outcome is unknown for ever, and it is not run again.
+ * The owner is this node, the node whose address the key contains, or the successor that inherited its outcomes.
+ * If the owner has ended without a successor, the outcome stays unknown and the request is never run again.
  */
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
@@ -19,25 +18,26 @@
 import type {CallerRequest, RequestOutcome} from './caller-request.js';
 import type {RunKeyStore} from './run-keys.js';
 
-/** What the router needs. */
+/** Dependencies of the router. */
 export type KeyedRouterParts = {
 	runKeys: RunKeyStore;
 	members: Members;
 	clients: NodeClients;
 	ownIncarnation: Incarnation;
-	/** Runs a request and writes its answer into the sink. */
+	/** Runs a request and writes the response to the sink. */
 	runRequest: (request: CallerRequest, sink: AnswerSink) => Promise<RequestOutcome>;
 };
 
+/** Timeout for asking a node whether it owns an incarnation's keys, in milliseconds. */
 const ownerQueryTimeout = 1000;
 
-/** Nodes asked whether they answer for an incarnation that has ended. */
+/** Maximum number of nodes asked whether they inherited the keys of an ended incarnation. */
 const maxSuccessorQueries = 5;
 
-/** Time a silent owner is waited for beyond the request's own bound, in milliseconds. */
+/** Time added to the request's deadline before a forwarded request is abandoned, in milliseconds. */
 const forwardMargin = 250;
 
-/** How passing a request to another node ended. */
+/** Result of forwarding a request to another node. */
 type ForwardResult = 'answered' | 'not_owner' | 'unreachable';
 
 /** Routes requests with run keys. */
@@ -48,7 +48,7 @@
 		this.#parts = parts;
 	}
 
-	/** Serves a request that has a run key; the sink has been ended when this resolves. */
+	/** Serves a request with a run key; resolves after the sink has been ended. */
 	async serve(request: CallerRequest, sink: AnswerSink): Promise<RequestOutcome> {
 		const parsed = parseRunKey(request.runKey!);
 		if (parsed.isLeft()) {
@@ -61,7 +61,7 @@
 			: this.#serveRemotely(request, parts, sink);
 	}
 
-	/** Serves a request whose key this process answers for. */
+	/** Serves a request whose key this process owns. */
 	async serveLocally(request: CallerRequest, parts: RunKeyParts, sink: AnswerSink): Promise<RequestOutcome> {
 		const claim = this.#parts.runKeys.claim(request.organisation, request.runKey!, parts, computeFingerprint(request));
 		if (claim.isLeft()) {
@@ -82,18 +82,18 @@
 		return outcome;
 	}
 
-	/** Runs a request into its recording, which ends whatever happens: others may be waiting for it. */
+	/** Runs a request into its recording and always ends the recording, because other callers may be reading it. */
 	async #runRecorded(request: CallerRequest, recording: Recording): Promise<RequestOutcome> {
 		try {
 			return await this.#parts.runRequest(request, recording);
 		} catch (error) {
-			const failure = createFailure('internal', `the node failed: ${readErrorMessage(error)}`);
+			const failure = createFailure('internal', `internal error: ${readErrorMessage(error)}`);
 			sendFailure(recording, failure, recording.hasStarted);
 			return {failure};
 		}
 	}
 
-	/** Plays what another caller's run records; a caller whose own bound is shorter hears so at its bound. */
+	/** Replays the recording of another caller's run; fails at this caller's own deadline if that is earlier. */
 	async #replayRecording(request: CallerRequest, recording: Recording, sink: AnswerSink): Promise<RequestOutcome> {
 		const {clock} = this.#parts.clients;
 		const limit = createTimeout(clock, request.deadline - clock.readMonotonic());
@@ -101,19 +101,19 @@
 		await recording.replayInto(deadlineSink);
 		limit.cancel();
 		return limit.signal.aborted && !deadlineSink.hasEnded
-			? this.#fail(request, sink, createFailure('bound_passed_running', 'the time bound passed while the request ran; send the same key again for its outcome', {ran: 'maybe'}))
+			? this.#fail(request, sink, createFailure('bound_passed_running', 'the time limit passed while the request was running; repeat it with the same key to get its outcome', {ran: 'maybe'}))
 			: {};
 	}
 
 	async #serveRemotely(request: CallerRequest, parts: RunKeyParts, sink: AnswerSink): Promise<RequestOutcome> {
 		const {members} = this.#parts;
-		// Asked also when this node's view does not know it: the view may lag behind a new node's registration.
+		// Tried even if this node's view does not list the owner: the view may lag behind a new node's registration.
 		const result = await this.#forward(parts.url, request, sink);
 		if (result === 'answered') {
 			return {};
 		}
 
-		// Silence proves nothing; another process at the address, or a box gone from the platform's lists, does.
+		// A missing reply does not prove that the owner has ended; another process at its address, or its box missing from the platform's lists, does.
 		const hasEnded = result === 'not_owner' || members.isDropped(parts.incarnation);
 		const successor = await this.#findSuccessor(parts.incarnation);
 		if (successor !== undefined && await this.#forward(successor, request, sink) === 'answered') {
@@ -121,11 +121,11 @@
 		}
 
 		return hasEnded && successor === undefined
-			? this.#fail(request, sink, createFailure('outcome_unknown', 'the node that owned this key has ended; whether the request ran is not known, and it is not run again'))
+			? this.#fail(request, sink, createFailure('outcome_unknown', 'the node that owned this key has ended; it is not known whether the request ran, and it will not be run again'))
 			: this.#fail(request, sink, createUnreachableFailure());
 	}
 
-	/** Passes the request on and plays the answer into the sink. */
+	/** Forwards the request and writes the response to the sink. */
 	async #forward(url: string, request: CallerRequest, sink: AnswerSink): Promise<ForwardResult> {
 		const limit = new AbortController();
 		const stop = () => {
@@ -213,14 +213,14 @@
 		}
 	}
 
-	throw new Error('the answer of the other node broke off');
+	throw new Error('the other node\'s response ended early');
 }
 
-/** Tells apart two requests that come with the same key. */
+/** Computes a hash that distinguishes different requests sent with the same key. */
 function computeFingerprint(request: CallerRequest): string {
 	return createHash('sha256').update(`${request.method} ${request.path}\n`).update(request.body).digest('hex');
 }
 
 function createUnreachableFailure(): Failure {
-	return createFailure('owner_unreachable', 'the node that owns this key does not answer at present; try again with the same key');
+	return createFailure('owner_unreachable', 'the node that owns this key cannot be reached at present; retry with the same key');
 }
--- a/src/node/entry/length-class.ts
+++ b/src/node/entry/length-class.ts
@@ -1,6 +1,6 @@
-/** Classes of prompt length, by which times are broken down in metrics and reports. Pure. */
+/** Classes of prompt length, used as labels of latency metrics and in reports. Pure. */
 
-/** Upper ends of the classes, in tokens, and their names. */
+/** Inclusive upper limits of the classes in tokens, and their names. */
 const classes: ReadonlyArray<readonly [number, string]> = [
 	[2000, 'to-2k'],
 	[8000, 'to-8k'],
@@ -9,22 +9,22 @@
 	[Number.POSITIVE_INFINITY, 'over-100k'],
 ];
 
-/** Names the class of a prompt length. */
+/** Returns the name of a prompt's length class. */
 export function findLengthClass(promptTokens: number): string {
 	return classes.find(([end]) => promptTokens <= end)?.[1] ?? 'over-100k';
 }
 
-/** Tokens up to which a prompt counts as short. */
+/** Maximum length of a short prompt, in tokens. */
 export const maxShortPromptTokens = 8000;
 
-/** Share by which the baseline rises with each request, so that it follows a service that has become slower. */
+/** Fraction by which the baseline grows per request, so that it adapts to a service that has become slower. */
 const baselineGrowth = 0.001;
 
-/** Follows how much slower than undisturbed short requests are. */
+/** Tracks the slowdown of short requests relative to the fastest recent ones. */
 export class SlowdownTracker {
 	readonly #baselines = new Map<string, number>();
 
-	/** Takes a short request's time to first token in milliseconds; returns its slowdown, 1 being undisturbed. */
+	/** Records a short request's time to first token in milliseconds and returns its slowdown; 1 means none. */
 	measure(service: string, promptTokens: number, firstToken: number): number {
 		const key = `${service}/${findLengthClass(promptTokens)}`;
 		const known = this.#baselines.get(key) ?? firstToken;
--- a/src/node/entry/parse-request.ts
+++ b/src/node/entry/parse-request.ts
@@ -1,4 +1,4 @@
-/** Turns a caller's HTTP request into a checked `CallerRequest`, or says what is wrong with it. */
+/** Parses and validates a caller's HTTP request into a `CallerRequest`. */
 import type {IncomingHttpHeaders} from 'node:http';
 import {Left, Right, type Either} from 'purify-ts';
 import * as z from 'zod';
@@ -12,7 +12,7 @@
 import {parseJsonBody} from './large-body.js';
 import type {TokenEstimator} from './token-estimator.js';
 
-/** A request as it arrived. */
+/** An HTTP request before parsing. */
 export type RawRequest = {
 	method: string;
 	/** Path and query. */
@@ -21,7 +21,7 @@
 	body: Uint8Array;
 };
 
-/** What parsing needs to know. */
+/** Dependencies of parsing. */
 export type ParseContext = {
 	clock: Clock;
 	view: FleetView;
@@ -35,21 +35,21 @@
 
 const positiveInteger = z.int().positive().nullish();
 const completionSchema = z.looseObject({
-	model: z.string({error: 'name a service in `model`'}),
-	stream: z.boolean({error: '`stream` is true or false'}).nullish(),
-	n: z.int({error: '`n` is a whole number from 1 to 16'}).min(1).max(16).nullish(),
+	model: z.string({error: '`model` must name a service'}),
+	stream: z.boolean({error: '`stream` must be true or false'}).nullish(),
+	n: z.int({error: '`n` must be a whole number from 1 to 16'}).min(1).max(16).nullish(),
 	max_tokens: positiveInteger,
 	max_completion_tokens: positiveInteger,
 });
-const messageSchema = z.looseObject({}, {error: 'a message is an object with `role` and `content`'});
+const messageSchema = z.looseObject({}, {error: 'a message must be an object with `role` and `content`'});
 const chatSchema = completionSchema.extend({
-	messages: z.array(messageSchema, {error: '`messages` is a list'}).min(1, {error: '`messages` is empty'}),
+	messages: z.array(messageSchema, {error: '`messages` must be a list'}).min(1, {error: '`messages` must not be empty'}),
 });
 const textSchema = completionSchema.extend({
-	prompt: z.union([z.string(), z.array(z.unknown())], {error: '`prompt` is a text or a list'}),
+	prompt: z.union([z.string(), z.array(z.unknown())], {error: '`prompt` must be a string or a list'}),
 });
 
-/** Finds out which organisation a request comes from. */
+/** Finds the organisation that owns the request's API key. */
 export function authenticate(headers: IncomingHttpHeaders, view: FleetView): Either<Failure, Entry<'Organisation'>> {
 	const key = readBearerToken(headers.authorization);
 	const owner = key === '' ? undefined : view.findKeyOwner(key);
@@ -59,11 +59,11 @@
 		: Right(organisation);
 }
 
-/** Checks a completion request. */
+/** Parses a completion request. */
 export async function parseCompletion(raw: RawRequest, operation: 'chat' | 'text', parts: ParseContext): Promise<Either<Failure, CallerRequest>> {
 	const authenticated = authenticate(raw.headers, parts.view);
 	if (authenticated.isLeft()) {
-		// Nothing is done for a stranger's body, however large.
+		// The body of an unauthenticated request is not parsed, since it may be large.
 		return Left(authenticated.extract());
 	}
 
@@ -76,12 +76,12 @@
 				}, parts))));
 }
 
-/** Checks a call on a plain service. */
+/** Parses a call to a plain service. */
 export function parsePlainCall(raw: RawRequest, parts: ParseContext): Either<Failure, CallerRequest> {
 	return authenticate(raw.headers, parts.view).chain(organisation => {
 		const name = findServiceByPath(raw.url, parts.view);
 		if (name === undefined) {
-			return Left(createFailure('unknown_path', `no service answers under ${raw.url.split('?', 1)[0]}`));
+			return Left(createFailure('unknown_path', `no service is configured for the path ${raw.url.split('?', 1)[0]}`));
 		}
 
 		return findService(name, 'plain', organisation, parts.view).chain(service =>
@@ -166,14 +166,14 @@
 	const bound = Number(text);
 	return Number.isInteger(bound) && bound >= 1 && bound <= service.longestBound
 		? Right(bound)
-		: Left(createFailure('invalid_time_bound', `${boundHeader} is '${String(text)}'; write whole milliseconds from 1 to ${service.longestBound}`));
+		: Left(createFailure('invalid_time_bound', `${boundHeader} is '${String(text)}'; it must be whole milliseconds from 1 to ${service.longestBound}`));
 }
 
 function parseRunFlags(raw: RawRequest, operation: Operation): Either<Failure, {isRepeatable: boolean; runKey: RunKey | undefined}> {
 	const runKey = raw.headers[runKeyHeader] as RunKey | undefined;
 	const notRepeatable = raw.headers[notRepeatableHeader];
 	if (notRepeatable !== undefined && notRepeatable !== 'true' && notRepeatable !== 'false') {
-		return Left(createFailure('invalid_request', `${notRepeatableHeader} is '${String(notRepeatable)}'; write true or false`));
+		return Left(createFailure('invalid_request', `${notRepeatableHeader} is '${String(notRepeatable)}'; it must be true or false`));
 	}
 
 	const isRepeatable = operation !== 'plain' || repeatableMethods.has(raw.method);
--- a/src/node/entry/plain-run.ts
+++ b/src/node/entry/plain-run.ts
@@ -1,4 +1,4 @@
-/** Runs one call on a plain service: passed on as it is, repeated only when that can do no harm. */
+/** Proxies one call to a plain service; it is retried only if it was not sent or is repeatable. */
 import type {BackendFailure, PlainAnswer, PlainClient} from '../../backends/index.js';
 import {
 	createFailure, type BackendServerId, type Clock, type Failure, type Logger, type Metrics,
@@ -10,7 +10,7 @@
 import type {RequestCancellation} from './request-cancellation.js';
 import type {RetryBudget} from './retry-budget.js';
 
-/** What runs need from the entry. */
+/** Dependencies of a plain run. */
 export type PlainRunParts = {
 	clock: Clock;
 	logger: Logger;
@@ -20,16 +20,17 @@
 	retryBudget: RetryBudget;
 };
 
+/** Maximum number of backend servers tried for one call. */
 const maxAttempts = 3;
 
 type CallResult =
 	| {kind: 'finished'}
-	/** Nothing was sent: free to go elsewhere. */
+	/** The call was not sent; any call may be retried on another backend server. */
 	| {kind: 'unsent'; failure: Failure}
-	/** It may have run. */
+	/** The call was sent and may have run. */
 	| {kind: 'lost'; failure: Failure};
 
-/** One call being served. */
+/** Serves one call. */
 export class PlainRun {
 	readonly #parts: PlainRunParts;
 	readonly #request: CallerRequest;
@@ -45,7 +46,7 @@
 		this.#cancellation = cancellation;
 	}
 
-	/** Serves the call; the sink has been ended when this resolves. */
+	/** Serves the call; resolves after the sink has been ended. */
 	async run(): Promise<RequestOutcome> {
 		const failure = await this.#tryServers();
 		if (failure !== undefined) {
@@ -89,7 +90,7 @@
 
 	async #callServer(grant: Grant, usableUntil: number): Promise<CallResult> {
 		if (this.#parts.clock.readMonotonic() > usableUntil) {
-			return {kind: 'unsent', failure: createFailure('no_dispatcher', 'the grant arrived too late to be used')};
+			return {kind: 'unsent', failure: createFailure('no_dispatcher', 'the grant expired before it arrived')};
 		}
 
 		const answer = await this.#parts.plain.call({
@@ -106,7 +107,7 @@
 		const failure = answer.extract() as BackendFailure;
 		return failure.kind === 'unreached'
 			? {kind: 'unsent', failure: createFailure('backend_busy', `the backend server could not be reached: ${failure.message}`)}
-			: {kind: 'lost', failure: createFailure('backend_unconfirmed', 'the backend server was lost before it answered; the call may have run')};
+			: {kind: 'lost', failure: createFailure('backend_unconfirmed', 'the connection to the backend server was lost before it responded; the call may have run')};
 	}
 
 	async #forwardAnswer(answer: PlainAnswer): Promise<CallResult> {
@@ -121,7 +122,7 @@
 				await this.#sink.waitForDrain();
 			}
 		} catch {
-			return {kind: 'lost', failure: createFailure(this.#sink.hasStarted ? 'backend_lost' : 'backend_unconfirmed', 'the backend server was lost in the middle of the answer')};
+			return {kind: 'lost', failure: createFailure(this.#sink.hasStarted ? 'backend_lost' : 'backend_unconfirmed', 'the connection to the backend server was lost during the response')};
 		}
 
 		this.#startOnce(answer);
--- a/src/node/entry/prompt-prefixes.ts
+++ b/src/node/entry/prompt-prefixes.ts
@@ -1,22 +1,23 @@
 /**
- * Hashes the beginnings of a prompt, so that a dispatcher can send requests that
- * share one (a system prompt, a tile template) to where it is cached.
+ * Hashes the prefixes of a prompt, so that a dispatcher can send requests that share
+ * a prefix (such as a system prompt) to the engine that caches it.
  *
- * Prefixes double in length, from 1 KiB to 1 MiB: eleven hashes at most a
- * request, whatever its length. Each hash is seeded by the one before.
+ * Prefix lengths double from 1 KiB to 1 MiB, so a request has at most eleven hashes. Each hash is seeded with the one before.
  */
 import {Buffer} from 'node:buffer';
 import xxhash, {type XXHashAPI} from 'xxhash-wasm';
 import type {PromptPrefixes} from '../dispatch/index.js';
 import type {CompletionBody, Operation} from './caller-request.js';
 
+/** Length of the shortest hashed prefix, in bytes. */
 const minPrefixBytes = 1024;
+/** Length of the longest hashed prefix, in bytes. */
 const maxPrefixBytes = 1_048_576;
 const hashRadix = 36;
 
-/** Hashes prefixes. Made once a process, since its code has to be loaded. */
+/** Hashes prompt prefixes. Created once per process, because the hash function is a WebAssembly module. */
 export class PrefixHasher {
-	/** Loads the hash function. */
+	/** Loads the hash function and creates a hasher. */
 	static async load(): Promise<PrefixHasher> {
 		return new PrefixHasher(await xxhash());
 	}
@@ -27,7 +28,7 @@
 		this.#api = api;
 	}
 
-	/** Hashes the prefixes of a completion's prompt; tokens are estimated at a ratio of tokens a byte. */
+	/** Hashes the prefixes of a completion's prompt; `tokensPerByte` converts prefix lengths to tokens. */
 	hashPrompt(operation: Operation, body: CompletionBody, tokensPerByte: number): PromptPrefixes {
 		const bytes = Buffer.from(extractPromptStart(operation, body));
 		const hashes: string[] = [];
@@ -43,7 +44,7 @@
 	}
 }
 
-/** The beginning of a prompt as one text, no longer than the longest prefix needs. */
+/** Returns the start of a prompt as one string of at most `maxPrefixBytes` characters. */
 function extractPromptStart(operation: Operation, body: CompletionBody): string {
 	if (operation === 'text') {
 		return (typeof body.prompt === 'string' ? body.prompt : JSON.stringify(body.prompt)).slice(0, maxPrefixBytes);
--- a/src/node/entry/recording.ts
+++ b/src/node/entry/recording.ts
@@ -1,11 +1,11 @@
-/** Keeps an answer while it is made and after, for every caller that presents the same run key. */
+/** Stores a response for every caller that sends the same run key, during the run and after it. */
 import {Buffer} from 'node:buffer';
 import type {AnswerHead, StoredAnswer} from '../../rpc/index.js';
 import {AnswerSink} from './answer-sink.js';
 
-/** Records an answer and plays it, also while it is still being made. */
+/** Records a response and replays it, also while it is still being written. */
 export class Recording extends AnswerSink {
-	/** Rebuilds a recording that another node passed on. */
+	/** Restores a recording exported by another node. */
 	static restore(stored: StoredAnswer): Recording {
 		const recording = new Recording();
 		recording.#head = stored.head;
@@ -17,7 +17,7 @@
 		return recording;
 	}
 
-	/** A recorded run goes on without its caller, who may come back for the outcome. */
+	/** Never aborted: a recorded run continues without its caller, who may come back for the outcome. */
 	override readonly disconnected = new AbortController().signal;
 	readonly #chunks: Uint8Array[] = [];
 	readonly #waitingReaders = new Set<() => void>();
@@ -31,22 +31,22 @@
 		return this.#head !== undefined;
 	}
 
-	/** Whether the answer is complete. */
+	/** Whether the response has been ended or aborted. */
 	get isDone(): boolean {
 		return this.#state !== 'open';
 	}
 
-	/** Whether only the fact of the answer is kept. */
+	/** Whether the body was dropped, so that only the fact that the request ran is kept. */
 	get isBodyDropped(): boolean {
 		return this.#isBodyDropped;
 	}
 
-	/** Whether someone is reading it. */
+	/** Whether any caller is reading the recording. */
 	get hasReaders(): boolean {
 		return this.#readerCount > 0;
 	}
 
-	/** Bytes kept. */
+	/** Size of the stored body, in bytes. */
 	get size(): number {
 		return this.#size;
 	}
@@ -56,7 +56,7 @@
 		this.#wake();
 	}
 
-	/** A recording takes all: it is kept whole, and bounded by `trim` of the store. */
+	/** Never full; `RunKeyStore.trim` limits the memory of finished recordings. */
 	override get isFull(): boolean {
 		return false;
 	}
@@ -79,21 +79,21 @@
 	}
 
 	override async waitForDrain(): Promise<void> {
-		// There is always room.
+		// A recording never applies backpressure.
 	}
 
 	override async flush(): Promise<void> {
-		// What is recorded is at its end already.
+		// Recorded data stays in this process.
 	}
 
-	/** Forgets the body of a finished answer; the fact that it ran stays. */
+	/** Drops the body of a finished response; the fact that the request ran is kept. */
 	dropBody(): void {
 		this.#chunks.length = 0;
 		this.#size = 0;
 		this.#isBodyDropped = true;
 	}
 
-	/** Takes the recording in a form that can be passed on; call when done. */
+	/** Exports the recording for another node. Call only when `isDone`. */
 	exportAnswer(): StoredAnswer {
 		return {
 			head: this.#head ?? {status: 500, headers: {}},
@@ -102,7 +102,7 @@
 		};
 	}
 
-	/** Plays the answer into a sink, waiting for what is still to come. Stops when the sink's reader is gone. */
+	/** Replays the response into a sink, following a run in progress. Stops when the sink's reader disconnects. */
 	async replayInto(sink: AnswerSink): Promise<void> {
 		this.#readerCount++;
 		try {
--- a/src/node/entry/request-cancellation.ts
+++ b/src/node/entry/request-cancellation.ts
@@ -1,7 +1,7 @@
-/** What ends a request from outside: its time bound, a caller who is gone, a node that stops at once. */
+/** Cancels a request when its deadline passes, its caller disconnects, or the node stops. */
 import {createFailure, type Clock, type Failure} from '../../common/index.js';
 
-/** One request's bound. Call `close` when the request has ended. */
+/** Cancellation of one request. Call `close` when the request has ended. */
 export class RequestCancellation {
 	readonly #controller = new AbortController();
 	readonly #timer: {cancel(): void};
@@ -36,12 +36,12 @@
 		}
 	}
 
-	/** Fires when the request has to end. */
+	/** Aborted when the request is cancelled. */
 	get signal(): AbortSignal {
 		return this.#controller.signal;
 	}
 
-	/** The failure that goes with the cause; undefined while the request may go on. */
+	/** Returns the failure for the cause of the cancellation; undefined if the request is not cancelled. */
 	findFailure(mayHaveRun: boolean): Failure | undefined {
 		switch (this.#cause) {
 			case undefined: {
@@ -50,21 +50,21 @@
 
 			case 'deadline': {
 				return mayHaveRun
-					? createFailure('bound_passed_running', 'the time bound passed while the request ran; its work was cancelled')
-					: createFailure('bound_passed_waiting', 'the time bound passed before the request could be sent');
+					? createFailure('bound_passed_running', 'the time limit passed while the request was running; it was cancelled')
+					: createFailure('bound_passed_waiting', 'the time limit passed before the request could be sent to a backend server');
 			}
 
 			case 'disconnected': {
-				return createFailure('caller_gone', 'the caller closed the connection; the work was cancelled', {ran: mayHaveRun ? 'partly' : 'no'});
+				return createFailure('caller_gone', 'the caller closed the connection; the request was cancelled', {ran: mayHaveRun ? 'partly' : 'no'});
 			}
 
 			case 'stopped': {
-				return createFailure('node_stopped', 'the node was told to stop at once', {ran: mayHaveRun ? 'partly' : 'no'});
+				return createFailure('node_stopped', 'the node is stopping immediately', {ran: mayHaveRun ? 'partly' : 'no'});
 			}
 		}
 	}
 
-	/** Stops watching. */
+	/** Removes the timer and the listeners. */
 	close(): void {
 		this.#timer.cancel();
 		this.#unsubscribe();
--- a/src/node/entry/retry-budget.ts
+++ b/src/node/entry/retry-budget.ts
@@ -1,9 +1,9 @@
-/** Limits retries to a share of recent requests, so that retries cannot become the load. Pure. */
+/** Limits retries to a fraction of recent requests, so that retries cannot overload the backend servers. Pure. */
 
-/** Retries that may be saved up while nothing fails. */
+/** Maximum number of retries that accumulate while nothing fails. */
 const maxBalance = 20;
 
-/** A budget of retries: each request adds a share, each retry takes one. */
+/** A retry budget: each request adds `retryRatio` retries, each retry takes one. */
 export class RetryBudget {
 	readonly #retryRatio: number;
 	#balance = maxBalance / 2;
@@ -12,12 +12,12 @@
 		this.#retryRatio = retryRatio;
 	}
 
-	/** Notes a request. */
+	/** Records a request, which adds to the budget. */
 	recordRequest(): void {
 		this.#balance = Math.min(maxBalance, this.#balance + this.#retryRatio);
 	}
 
-	/** Takes one retry; false when the budget is spent. */
+	/** Takes one retry; returns false if the budget is exhausted. */
 	takeRetry(): boolean {
 		if (this.#balance < 1) {
 			return false;
--- a/src/node/entry/run-keys.ts
+++ b/src/node/entry/run-keys.ts
@@ -1,10 +1,8 @@
 /**
- * Run keys: what makes a request run at most once.
+ * Run keys, which make a request run at most once. Only the process that issued a key's address token runs the request.
  *
- * Only the process that gave out a key's address token runs it. It keeps every
- * outcome in memory until the key can no longer be used, so no key is ever
- * forgotten while it could still be presented. After a planned stop a successor
- * holds the outcomes: it answers for the old incarnation, and runs nothing under it.
+ * It keeps every outcome in memory until the key has expired, so that a valid key is never run a second time.
+ * After a planned stop a successor holds the outcomes: it serves the old incarnation's keys, but runs no new ones.
  */
 import {type Either, Left, Right} from 'purify-ts';
 import {
@@ -13,9 +11,9 @@
 import type {StoredOutcome} from '../../rpc/index.js';
 import {Recording} from './recording.js';
 
-/** What to do with a key. */
+/** Result of claiming a run key. */
 export type RunKeyClaim = {
-	/** `run`: the key is new, run it into the recording. `play`: it has been run, or runs now. */
+	/** `run`: the key is new, run the request into the recording. `replay`: the request has run or is running. */
 	kind: 'run' | 'replay';
 	recording: Recording;
 };
@@ -25,30 +23,30 @@
 	runKey: RunKey;
 	fingerprint: string;
 	recording: Recording;
-	/** Monotonic time until which it is kept. */
+	/** Monotonic time after which the record is removed, in milliseconds. */
 	expiresAt: number;
 };
 
-/** Added to the lifetime of a key before its outcome is forgotten, in milliseconds. */
+/** Time for which an outcome is kept after its key has expired, in milliseconds. */
 const retentionMargin = 60_000;
 
-/** Seconds by which the clock of the node that gave out a token may be ahead of the owner's. */
+/** Maximum time by which a token may be dated ahead of this node's clock, in seconds. */
 const maxClockSkew = 120;
 
-/** The run keys of one process, and those it inherited. */
+/** Stores the run keys of one process and those it inherited. */
 export class RunKeyStore {
 	readonly #clock: Clock;
 	readonly #incarnation: Incarnation;
 	readonly #lifetime: number;
 	readonly #maxAnswerBytes: number;
-	/** Difference between Unix time and the monotonic clock at start: a jump of the wall clock later changes nothing. */
+	/** Unix time minus monotonic time at start, in milliseconds; fixed, so that later jumps of the wall clock have no effect. */
 	readonly #epochOffset: number;
 	readonly #records = new Map<string, RunRecord>();
-	/** Incarnations inherited, with the monotonic time until which they are answered for. */
+	/** Inherited incarnations, with the monotonic time in milliseconds until which their keys are served. */
 	readonly #inherited = new Map<Incarnation, number>();
 	#isClosed = false;
 
-	/** Lifetime in milliseconds; kept bytes bound the bodies of finished answers. */
+	/** `lifetime` is that of a key in milliseconds; `maxAnswerBytes` limits the bodies of finished responses. */
 	constructor(clock: Clock, incarnation: Incarnation, lifetime: number, maxAnswerBytes: number) {
 		this.#clock = clock;
 		this.#incarnation = incarnation;
@@ -57,17 +55,17 @@
 		this.#epochOffset = clock.now().getTime() - clock.readMonotonic();
 	}
 
-	/** Unix second, steady over this process's life; for address tokens. */
+	/** Returns the Unix time in seconds, monotonic over the life of this process; used for address tokens. */
 	readSecond(): number {
 		return Math.floor((this.#clock.readMonotonic() + this.#epochOffset) / 1000);
 	}
 
-	/** Whether this process answers for an incarnation: its own, or one inherited. */
+	/** Whether this process owns the keys of an incarnation, which is its own or an inherited one. */
 	answersFor(incarnation: Incarnation): boolean {
 		return incarnation === this.#incarnation || this.#inherited.has(incarnation);
 	}
 
-	/** Decides about a key that this process answers for. Fingerprint: of the request the key came with. */
+	/** Claims a key that this process owns. `fingerprint` is the hash of the request sent with the key. */
 	claim(organisation: OrganisationId, runKey: RunKey, parts: RunKeyParts, fingerprint: string): Either<Failure, RunKeyClaim> {
 		this.#removeExpired();
 		const id = formatRecordId(organisation, runKey);
@@ -77,17 +75,17 @@
 		}
 
 		if (parts.incarnation !== this.#incarnation || this.#isClosed) {
-			return Left(createFailure('run_key_closed', 'the node that gave out this key has stopped and never ran it; ask /v1/addresses for a new one'));
+			return Left(createFailure('run_key_closed', 'the node that issued this key has stopped and never ran it; get a new one from /v1/addresses'));
 		}
 
 		const usableUntil = (parts.issuedSecond * 1000) - this.#epochOffset + this.#lifetime;
 		const now = this.#clock.readMonotonic();
 		if (now > usableUntil) {
-			return Left(createFailure('run_key_expired', 'the key is past its lifetime, and an outcome, if there was one, is no longer kept; ask /v1/addresses for a new one'));
+			return Left(createFailure('run_key_expired', 'the key has expired, and its outcome, if there was one, is no longer kept; get a new one from /v1/addresses'));
 		}
 
 		if (parts.issuedSecond > this.readSecond() + maxClockSkew) {
-			return Left(createFailure('invalid_run_key', 'the key names a time that has not come yet; make it from a token of /v1/addresses'));
+			return Left(createFailure('invalid_run_key', 'the key is dated in the future; build it from a token of /v1/addresses'));
 		}
 
 		const recording = new Recording();
@@ -97,12 +95,12 @@
 		return Right({kind: 'run', recording});
 	}
 
-	/** Forgets a key whose request is known not to have run: the same key may be tried again. */
+	/** Releases a key whose request is known not to have run, so that the key can be used again. */
 	release(organisation: OrganisationId, runKey: RunKey): void {
 		this.#records.delete(formatRecordId(organisation, runKey));
 	}
 
-	/** Bounds the memory of finished answers: bodies of the oldest are dropped first, never the fact. */
+	/** Limits the memory of finished responses: drops the oldest bodies first and keeps the fact that each request ran. */
 	trim(): void {
 		let kept = 0;
 		for (const record of [...this.#records.values()].reverse()) {
@@ -114,12 +112,12 @@
 		}
 	}
 
-	/** Runs no new key any more. */
+	/** Refuses new keys from now on. */
 	close(): void {
 		this.#isClosed = true;
 	}
 
-	/** Takes what a successor needs. Call when closed and every run has ended. */
+	/** Exports the outcomes for a successor. Call after `close`, when every run has ended. */
 	exportOutcomes(): StoredOutcome[] {
 		this.#removeExpired();
 		const now = this.#clock.readMonotonic();
@@ -132,12 +130,12 @@
 		}));
 	}
 
-	/** Lists the incarnations this process answers for, its own first. */
+	/** Lists the incarnations whose keys this process owns, its own first. */
 	listIncarnations(): Incarnation[] {
 		return [this.#incarnation, ...this.#inherited.keys()];
 	}
 
-	/** Answers from now on for an incarnation that has stopped as planned. */
+	/** Takes over the keys and outcomes of incarnations that ended in a planned stop. */
 	inherit(incarnations: Incarnation[], outcomes: StoredOutcome[]): void {
 		const now = this.#clock.readMonotonic();
 		for (const incarnation of incarnations) {
@@ -159,11 +157,11 @@
 
 	#replayRecorded(record: RunRecord, fingerprint: string): Either<Failure, RunKeyClaim> {
 		if (record.fingerprint !== fingerprint) {
-			return Left(createFailure('run_key_reused', 'the key has been used for another request, and this one was not run; make a new key for each request'));
+			return Left(createFailure('run_key_reused', 'the key was already used for a different request, and this one was not run; use a new key for each request'));
 		}
 
 		if (record.recording.isBodyDropped) {
-			return Left(createFailure('outcome_not_kept', 'the request ran to its end; its answer was too large to keep'));
+			return Left(createFailure('outcome_not_kept', 'the request ran to completion, but its response is no longer stored'));
 		}
 
 		return Right({kind: 'replay', recording: record.recording});
--- a/test/bound-resources.test.ts
+++ b/test/bound-resources.test.ts
@@ -14,7 +14,7 @@
 	await fleet.stop();
 });
 
-test('a slow caller slows its engine\'s stream and not the node\'s memory', async () => {
+test('a slow caller slows its engine\'s stream instead of filling the node\'s memory', async () => {
 	fleet = await new TestFleet({engines: 1, nodes: 1, engineOptions: {stepMilliseconds: 1}}).startReady();
 	const filler = 'x'.repeat(20_000);
 	fleet.engines[0].padding = filler;
@@ -22,20 +22,20 @@
 		method: 'POST', headers: {authorization: `Bearer ${standinFleet.key}`}, body: JSON.stringify(buildChatBody({stream: true, max_tokens: 20_000})), highWaterMark: 1024,
 	}));
 	await fleet.advanceTime(15_000);
-	// Some 3000 tokens of 20 kB have been made: what the sockets between do not hold must wait at the engine.
+	// About 3000 tokens of 20 kB were generated: what the socket buffers cannot hold must stay at the engine.
 	expect(fleet.engines[0].unsentBytes).toBeGreaterThan(10_000_000);
 	response.body.destroy();
 	await fleet.waitUntil(() => fleet.engines[0].heldTokens === 0);
 }, 30_000);
 
-test('a prompt of a million tokens passes', async () => {
+test('a prompt of a million tokens is served', async () => {
 	fleet = await new TestFleet({engines: 1, nodes: 1, engineOptions: {capacity: 2_000_000, prefillRate: 10_000_000}}).startReady();
 	const content = 'rain over the strait '.repeat(200_000);
 	const answer = await fleet.settle(sendChat(fleet.nodes[0].callerUrl, {stream: true, messages: [{role: 'user', content}]}));
 	expect(joinStream(answer.text)).toBe('t1 t2 t3 t4 t5 ');
 });
 
-test('the node holds no more request bodies than its settings allow', async () => {
+test('the node buffers no more request bodies than its settings allow', async () => {
 	fleet = await new TestFleet({
 		engines: 1,
 		nodes: 1,
@@ -67,7 +67,7 @@
 	await fleet.settle(Promise.all(running));
 });
 
-test('the three listeners answer only their own', async () => {
+test('each of the three listeners accepts only its own credentials and paths', async () => {
 	fleet = await new TestFleet({engines: 1, nodes: 1}).startReady();
 	const [node] = fleet.nodes;
 	const getStatus = async (url: string, key: string) => {
--- a/test/helpers/calls.ts
+++ b/test/helpers/calls.ts
@@ -1,28 +1,28 @@
-/** Calls as a caller of the stand-in fleet makes them. */
+/** HTTP calls to a stand-in fleet, as callers make them. */
 import {connect} from 'node:net';
 import {request} from 'undici';
 import {standinFleet} from '../../src/standin/index.js';
 
-/** An answer, read to its end or to where it broke. */
+/** A response, read to its end or to where the connection broke. */
 export type CallAnswer = {
 	status: number;
 	headers: Record<string, string | string[] | undefined>;
 	text: string;
-	/** Whether the connection was cut before the answer ended. */
+	/** Whether the connection was closed before the response ended. */
 	wasCut: boolean;
 };
 
-/** The body of an error answer. */
+/** Body of an error response. */
 export type ErrorAnswerBody = {error: {code: string; ran: string; message: string; type: string; retry_after_seconds?: number}};
 
-/** A request body for the engine service. */
+/** Builds a chat request body for the engine service. */
 export function buildChatBody(overrides: Record<string, unknown> = {}): Record<string, unknown> {
 	return {
 		model: standinFleet.service, messages: [{role: 'user', content: 'Nowcast for tile 37'}], max_tokens: 5, ...overrides,
 	};
 }
 
-/** Calls a path and reads the answer. */
+/** Sends a request and reads the response. */
 export async function call(url: string, options: {body?: unknown; headers?: Record<string, string>; method?: 'GET' | 'POST'; signal?: AbortSignal; key?: string} = {}): Promise<CallAnswer> {
 	const body = typeof options.body === 'string' || options.body === undefined ? options.body : JSON.stringify(options.body);
 	const response = await request(url, {
@@ -39,7 +39,7 @@
 	};
 }
 
-/** Streams or completes a chat. */
+/** Sends a chat request, streamed if the body says so, and reads the response. */
 export async function sendChat(callerUrl: string, body: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<CallAnswer> {
 	return call(`${callerUrl}/v1/chat/completions`, {body: buildChatBody(body), headers});
 }
@@ -58,7 +58,7 @@
 		.map(event => JSON.parse(event.slice('data: '.length)) as StreamChunk);
 }
 
-/** Reads an error answer. */
+/** Parses the error of an error response. */
 export function readError(answer: CallAnswer): ErrorAnswerBody['error'] {
 	return (JSON.parse(answer.text) as ErrorAnswerBody).error;
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-/** Sends bytes as they are and returns what comes back until the connection ends, a second at most. */
+/** Sends raw bytes and returns what is received until the connection closes, for one second at most. */
 export async function sendRaw(host: string, port: number, text: string): Promise<string> {
 	return new Promise(resolve => {
 		const socket = connect(port, host);
@@ -97,7 +97,7 @@
 	});
 }
 
-/** The text of an answer of this many tokens. */
+/** Builds the text that a stand-in engine generates for this number of tokens. */
 export function buildTokenText(count: number): string {
 	return Array.from({length: count}, (_, index) => `t${index + 1} `).join('');
 }
--- a/test/helpers/fleet.ts
+++ b/test/helpers/fleet.ts
@@ -1,22 +1,24 @@
-/** A fleet of stand-ins on a virtual clock, over real loopback sockets. */
+/** A stand-in fleet on a virtual clock with real loopback sockets. */
 import {setImmediate as waitForTurn} from 'node:timers/promises';
 import {jest} from '@jest/globals';
 import {VirtualClock} from '../../src/common/index.js';
 import {StandinFleet, standinFleet, type StandinFleetOptions} from '../../src/standin/index.js';
 
 /**
- * Real time for a test on the virtual clock, in milliseconds: a guard against a hang only.
+ * Real-time limit of a test on the virtual clock, in milliseconds; only a guard against hangs.
  *
- * What bounds these tests is virtual time (`mostSteps`); two of them take 2.7 and 3.7 s of
- * real time alone and passed 5 s beside a load of 17 on eight cores.
+ * These tests are limited by virtual time (`maxSteps`). Two of them take 2.7 and 3.7 s of real time
+ * alone, and exceeded 5 s at a load of 17 on eight cores.
  */
 const realTimeGuard = 30_000;
 
 jest.setTimeout(realTimeGuard);
 
-/** Turns of the event loop given to sockets before time moves on. */
+/** Turns of the event loop for socket I/O before virtual time advances. */
 const turnsPerStep = 12;
+/** Step by which virtual time advances, in milliseconds. */
 const defaultStep = 5;
+/** Maximum number of steps to wait for one condition. */
 const maxSteps = 60_000;
 
 /** A fleet under test. */
@@ -29,7 +31,7 @@
 		this.clock = clock;
 	}
 
-	/** Starts and waits until every node is ready and every pool is decided somewhere. */
+	/** Starts the fleet and waits until every node is ready and every pool has a dispatcher. */
 	async startReady(): Promise<this> {
 		await this.start();
 		await this.waitUntil(() => this.nodes.every(node => node.phase === 'ready' && node.readStatus().readyNodes.length === this.nodes.length)
@@ -38,7 +40,7 @@
 		return this;
 	}
 
-	/** Lets virtual time pass while sockets work, until something settles. */
+	/** Advances virtual time until a promise settles. */
 	async settle<Result>(work: Promise<Result>): Promise<Result> {
 		let isSettled = false;
 		const watch = async () => {
@@ -54,7 +56,7 @@
 		return work;
 	}
 
-	/** Lets virtual time pass while sockets work, until a condition holds. */
+	/** Advances virtual time, with socket I/O in between, until a condition holds. */
 	async waitUntil(condition: () => boolean, stepMilliseconds = defaultStep): Promise<void> {
 		for (let step = 0; step < maxSteps; step++) {
 			for (let turn = 0; turn < turnsPerStep; turn++) {
@@ -67,27 +69,27 @@
 			this.clock.advance(stepMilliseconds);
 		}
 
-		throw new Error(`the condition did not come to hold in ${maxSteps * stepMilliseconds} ms of virtual time`);
+		throw new Error(`the condition was not met within ${maxSteps * stepMilliseconds} ms of virtual time`);
 	}
 
-	/** Lets virtual time pass while sockets work. */
+	/** Advances virtual time by a duration, with socket I/O in between. */
 	async advanceTime(milliseconds: number, stepMilliseconds = defaultStep): Promise<void> {
 		const end = this.clock.readMonotonic() + milliseconds;
 		await this.waitUntil(() => this.clock.readMonotonic() >= end, stepMilliseconds);
 	}
 
-	/** Tokens of memory that all engines hold. */
+	/** Counts the tokens held in memory by all engines. */
 	countHeldTokens(): number {
 		return this.engines.reduce((sum, engine) => sum + engine.heldTokens, 0);
 	}
 
-	/** The node that decides for the engine service's pool. */
+	/** Returns the index of the node that schedules the engine service's pool. */
 	findDispatcherNode(): number {
 		return this.nodes.findIndex(node => node.phase !== 'stopped' && node.readStatus().pools.some(pool => pool.pool.startsWith(standinFleet.service)));
 	}
 }
 
-/** A small linear congruential generator: the same numbers in every run. */
+/** Creates a seeded linear congruential generator, so that every run uses the same numbers. */
 export function createRandom(seed = 1): () => number {
 	let state = seed;
 	return () => {
--- a/test/keep-answers-whole.test.ts
+++ b/test/keep-answers-whole.test.ts
@@ -29,9 +29,9 @@
 	['cut before the finish marker', {cutAfter: 5}],
 	['sent twice', {double: true}],
 	['sent with a gap', {skip: 3}],
-	['mixed with another request', {crossAfter: 2}],
-	['ended without its marker', {loseMarker: true}],
-])('an answer %s still arrives whole and once', async (_name, faults) => {
+	['mixed with chunks of another request', {crossAfter: 2}],
+	['ended without its finish marker', {loseMarker: true}],
+])('a response %s still arrives complete and exactly once', async (_name, faults) => {
 	fleet.engines[0].faults = faults;
 	const answer = await sendAndRead();
 	expect(joinStream(answer.text)).toBe('t1 t2 t3 t4 t5 ');
@@ -47,20 +47,20 @@
 	expect(ids.has('chatcmpl-another')).toBe(false);
 });
 
-test('a whole answer is gathered over a cut', async () => {
+test('a complete response is assembled across a broken stream', async () => {
 	fleet.engines[0].faults = {cutAfter: 2};
 	const answer = await sendAndRead({stream: false});
 	expect(answer.text).toContain('t1 t2 t3 t4 t5 ');
 });
 
-test('a lost engine in mid-stream ends in an error event, never in silence', async () => {
+test('an engine lost in mid-stream ends the stream with an error event', async () => {
 	fleet.engines[0].faults = {cutAfter: 2, forget: true};
 	const answer = await sendAndRead();
 	expect(listStream(answer.text).at(-1)?.error).toMatchObject({code: 'backend_lost', ran: 'partly'});
 	expect(answer.text).not.toContain('[DONE]');
 });
 
-test('a request whose engine is lost before the first token runs elsewhere', async () => {
+test('a request whose engine is lost before the first token runs on another engine', async () => {
 	const second = await fleet.addEngine();
 	await fleet.advanceTime(300);
 	for (const engine of fleet.engines) {
@@ -77,7 +77,7 @@
 	expect(other.taken).toBe(1);
 });
 
-test('a request marked as not repeatable does not run elsewhere', async () => {
+test('a request marked as not repeatable does not run on another engine', async () => {
 	await fleet.addEngine();
 	await fleet.advanceTime(300);
 	for (const engine of fleet.engines) {
@@ -94,7 +94,7 @@
 	expect(fleet.engines.filter(engine => engine !== lost).map(engine => engine.taken)).toEqual([0]);
 });
 
-test('an engine that refuses is passed over, also for a request that is not repeatable', async () => {
+test('a request refused by one engine is sent to another, even if it is not repeatable', async () => {
 	await fleet.addEngine();
 	await fleet.advanceTime(300);
 	fleet.engines[0].faults = {refuse: true};
@@ -103,7 +103,7 @@
 	expect(fleet.engines.map(engine => engine.taken)).toEqual([0, 3]);
 });
 
-test('a refusal by every engine is told as not run', async () => {
+test('a refusal by every engine is reported as not run', async () => {
 	fleet.engines[0].faults = {refuse: true};
 	const start = fleet.clock.readMonotonic();
 	const answer = await fleet.settle(sendChat(fleet.nodes[0].callerUrl));
@@ -113,7 +113,7 @@
 	expect(answer.headers['retry-after']).toBeDefined();
 });
 
-test('at the time bound the caller has an error within 100 ms and the work is cancelled', async () => {
+test('at the time limit the caller gets an error within 100 ms and the request is cancelled', async () => {
 	fleet.engines[0].faults = {hang: true};
 	const start = fleet.clock.readMonotonic();
 	const answer = await sendAndRead({stream: false}, {'x-time-bound-ms': '1000'});
@@ -125,13 +125,13 @@
 	await fleet.waitUntil(() => countHeldTokens() === 0);
 });
 
-test('at the time bound a stream ends with an error event', async () => {
+test('at the time limit a stream ends with an error event', async () => {
 	const answer = await sendAndRead({max_tokens: 1000}, {'x-time-bound-ms': '1000'});
 	expect(listStream(answer.text).at(-1)?.error?.code).toBe('bound_passed_running');
 	await fleet.waitUntil(() => countHeldTokens() === 0);
 });
 
-test('a bound that passes while the request waits is told as not run', async () => {
+test('a time limit that passes while the request is queued is reported as not run', async () => {
 	const long = sendChat(fleet.nodes[0].callerUrl, {max_tokens: 190_000}, {'x-time-bound-ms': '5000'});
 	await fleet.waitUntil(() => fleet.engines[0].taken === 1);
 	const answer = await fleet.settle(sendChat(fleet.nodes[0].callerUrl, {max_tokens: 50_000}, {'x-time-bound-ms': '500'}));
@@ -140,7 +140,7 @@
 	await fleet.settle(long);
 });
 
-test('work is cancelled and its grant given back when the caller goes', async () => {
+test('a request is cancelled and its grant released when the caller disconnects', async () => {
 	const controller = new AbortController();
 	const answer = call(`${fleet.nodes[0].callerUrl}/v1/chat/completions`, {body: buildChatBody({stream: true, max_tokens: 1000}), signal: controller.signal});
 	await fleet.waitUntil(() => countHeldTokens() > 0);
@@ -150,7 +150,7 @@
 	expect(fleet.engines[0].cancelled).toHaveLength(1);
 });
 
-test('an answer goes on at another engine when the service allows it', async () => {
+test('a completion continues on another engine if the service allows it', async () => {
 	await fleet.stop();
 	fleet = await new TestFleet({engines: 2, nodes: 1, service: {continuable: true}}).startReady();
 	const answer = sendChat(fleet.nodes[0].callerUrl, {stream: true, max_tokens: 20});
@@ -163,7 +163,7 @@
 	expect(new Set(listStream(text).map(chunk => chunk.id)).size).toBe(1);
 });
 
-test('retries stop when their budget is spent', async () => {
+test('retries stop when the retry budget is exhausted', async () => {
 	await fleet.stop();
 	fleet = await new TestFleet({
 		engines: 2,
@@ -183,7 +183,7 @@
 	expect(sent).toBeLessThanOrEqual(30 + 10);
 });
 
-test('a request for a pool without backend servers is given up in seconds, not at its bound', async () => {
+test('a request for a pool without backend servers fails within seconds, not at its time limit', async () => {
 	await fleet.engines[0].stop();
 	await fleet.advanceTime(3000);
 	const start = fleet.clock.readMonotonic();
@@ -192,7 +192,7 @@
 	expect(fleet.clock.readMonotonic() - start).toBeLessThanOrEqual(5100);
 });
 
-test('an answer that comes late reaches nobody, also not the next on the same connection', async () => {
+test('a late response is discarded and does not reach the next request on the same connection', async () => {
 	fleet.engines[0].faults = {hang: true};
 	const late = await sendAndRead({}, {'x-time-bound-ms': '500'});
 	expect(readError(late).code).toBe('bound_passed_running');
--- a/test/official-client.test.ts
+++ b/test/official-client.test.ts
@@ -45,7 +45,7 @@
 	expect(await fleet.settle(read())).toBe('t1 t2 t3 ');
 });
 
-test('the official client gets usage in a stream when it asks', async () => {
+test('the official client gets usage in a stream on request', async () => {
 	const read = async () => {
 		const stream = await client.chat.completions.create({
 			model: standinFleet.service, messages, max_completion_tokens: 3, stream: true, stream_options: {include_usage: true},
@@ -79,7 +79,7 @@
 	await expect(create(client, standinFleet.service, 1_000_000)).rejects.toBeInstanceOf(OpenAI.BadRequestError);
 });
 
-test('the official client shows the code and whether the request ran', async () => {
+test('the official client exposes the error code and whether the request ran', async () => {
 	const error = await fleet.settle(client.chat.completions.create({model: 'mosto-llm', messages}).catch((error: unknown) => error)); // eslint-disable-line promise/prefer-await-to-then
 	expect(error).toMatchObject({status: 404, code: 'unknown_model', error: {ran: 'no'}});
 });
@@ -97,7 +97,7 @@
 	await expect(fleet.settle(read())).rejects.toMatchObject({code: 'bound_passed_running'});
 });
 
-test('an abort of the official client cancels the work', async () => {
+test('an abort by the official client cancels the request', async () => {
 	const stream = await fleet.settle(client.chat.completions.create({
 		model: standinFleet.service, messages, max_completion_tokens: 5000, stream: true,
 	}));
--- a/test/run-at-most-once.test.ts
+++ b/test/run-at-most-once.test.ts
@@ -18,7 +18,7 @@
 	await fleet.stop();
 });
 
-/** Makes a run key owned by a node, as a caller would from that node's address answer. */
+/** Creates a run key owned by a node, as a caller would from that node's `/v1/addresses` response. */
 async function makeKey(owner: number): Promise<string> {
 	const answer = await fleet.settle(call(`${fleet.nodes[owner].callerUrl}/v1/addresses`, {method: 'GET'}));
 	const {addresses} = JSON.parse(answer.text) as {addresses: Array<{url: string; incarnation: string}>};
@@ -30,7 +30,7 @@
 	return call(`${fleet.nodes[node].callerUrl}/tessere/alert`, {body, headers: {'x-run-key': key, ...headers}});
 }
 
-/** The caller-visible part of an answer, without what differs between connections. */
+/** Reads the plain service's run counter from a response. */
 function readRun(answer: CallAnswer): unknown {
 	return (JSON.parse(answer.text) as {run?: number}).run;
 }
@@ -58,7 +58,7 @@
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
-test('repeats while the first still runs wait for it', async () => {
+test('repeats wait for the first request while it is running', async () => {
 	fleet.plain.faults = {delay: 500};
 	const key = await makeKey(0);
 	const answers = await fleet.settle(Promise.all([0, 0, 1, 2].map(async node => sendAlert(node, key))));
@@ -66,7 +66,7 @@
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
-test('a caller who left finds the outcome', async () => {
+test('a caller that disconnected gets the outcome by repeating the key', async () => {
 	fleet.plain.faults = {delay: 500};
 	const key = await makeKey(0);
 	const controller = new AbortController();
@@ -78,7 +78,7 @@
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
-test('a lost reply of the plain service is told as perhaps run, and the key does not run again', async () => {
+test('a lost reply of the plain service is reported as possibly run, and the key does not run again', async () => {
 	fleet.plain.faults = {loseReplies: 1};
 	const key = await makeKey(0);
 	const answers = [await fleet.settle(sendAlert(0, key)), await fleet.settle(sendAlert(1, key))];
@@ -86,7 +86,7 @@
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
-test('a request that did not run frees its key', async () => {
+test('a request that did not run releases its key', async () => {
 	const key = await makeKey(0);
 	const wait = {'x-time-bound-ms': '300'};
 	fleet.plain.faults = {delay: 2000};
@@ -113,7 +113,7 @@
 	expect(other.text).toContain(standinFleet.otherOrganisation);
 });
 
-test('after the owner died the outcome is unknown for ever and nothing runs again', async () => {
+test('after the owner has crashed the outcome stays unknown and nothing runs again', async () => {
 	const key = await makeKey(0);
 	await fleet.settle(sendAlert(0, key));
 	await fleet.killNode(fleet.nodes[0]);
@@ -127,7 +127,7 @@
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
-test('the box gone from the live list ends the doubt', async () => {
+test('an owner whose box is removed from the live list counts as ended', async () => {
 	const key = await makeKey(0);
 	for (const box of ['box-1', 'box-2', 'box-3']) {
 		fleet.platform.putObject({kind: 'LiveBox', metadata: {name: box}, spec: {state: 'live'}});
@@ -140,7 +140,7 @@
 	expect(readError(await fleet.settle(sendAlert(1, key))).code).toBe('outcome_unknown');
 });
 
-test('while the owner is unreachable the answer is maybe, and later the same key works', async () => {
+test('while the owner is unreachable a request is reported as possibly run, and later the same key works', async () => {
 	const key = await makeKey(0);
 	fleet.network.cut('box-1');
 	const answer = await fleet.settle(sendAlert(1, key, {'x-time-bound-ms': '3000'}));
@@ -152,7 +152,7 @@
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
-test('a planned stop passes the outcomes to a successor, which answers for the old keys and runs no new ones', async () => {
+test('a planned stop hands the outcomes to a successor, which serves the old keys and runs no new ones', async () => {
 	const [used, unused] = [await makeKey(0), await makeKey(0)];
 	const first = await fleet.settle(sendAlert(0, used));
 	const stopping = fleet.nodes[0].stop();
@@ -165,7 +165,7 @@
 	expect(fleet.plain.countRuns(unused)).toBe(0);
 });
 
-test('outcomes pass on through two planned stops', async () => {
+test('outcomes survive two planned stops', async () => {
 	const key = await makeKey(0);
 	const first = await fleet.settle(sendAlert(0, key));
 	await fleet.settle(fleet.nodes[0].stop());
@@ -177,7 +177,7 @@
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
-test('a key past its lifetime is not run and not called unrun', async () => {
+test('an expired key is not run and not reported as not run', async () => {
 	const key = await makeKey(0);
 	await fleet.settle(sendAlert(0, key));
 	fleet.clock.advance(662_000);
@@ -195,7 +195,7 @@
 	expect(fleet.engines[0].taken).toBe(1);
 });
 
-test('an owner paused past every timeout runs a key once when it wakes', async () => {
+test('an owner paused past every timeout runs a key once after it resumes', async () => {
 	const key = await makeKey(0);
 	fleet.network.pause('box-1');
 	const bound = {'x-time-bound-ms': '1000'};
@@ -210,7 +210,7 @@
 	expect(fleet.plain.countRuns(key)).toBe(1);
 });
 
-test('a repeat with a shorter bound hears so at its bound, and later gets the outcome', async () => {
+test('a repeat with a shorter time limit fails at that limit, and later gets the outcome', async () => {
 	fleet.plain.faults = {delay: 3000};
 	const key = await makeKey(0);
 	const first = sendAlert(0, key);
--- a/test/serve-callers.test.ts
+++ b/test/serve-callers.test.ts
@@ -19,14 +19,14 @@
 	await fleet.stop();
 });
 
-test('streams an answer with its finish marker', async () => {
+test('streams a response with its finish marker', async () => {
 	const answer = await fleet.settle(sendChat(url, {stream: true}));
 	expect(answer.status).toBe(200);
 	expect(joinStream(answer.text)).toBe('t1 t2 t3 t4 t5 ');
 	expect(answer.text.endsWith('data: [DONE]\n\n')).toBe(true);
 });
 
-test('gives a whole answer in the shape of OpenAI', async () => {
+test('returns a complete response in OpenAI format', async () => {
 	const answer = await fleet.settle(sendChat(url));
 	expect(answer.headers['x-cresshook-ran']).toBe('yes');
 	expect(JSON.parse(answer.text)).toMatchObject({
@@ -36,23 +36,23 @@
 	});
 });
 
-test('gives a whole text completion', async () => {
+test('returns a complete text completion', async () => {
 	const answer = await fleet.settle(call(`${url}/v1/completions`, {body: {model: standinFleet.service, prompt: 'Wind at Siracusa', max_tokens: 2}}));
 	expect(JSON.parse(answer.text)).toMatchObject({object: 'text_completion', choices: [{text: 't1 t2 '}]});
 });
 
-test('either node serves, wherever the dispatcher is', async () => {
+test('every node serves, regardless of where the dispatcher runs', async () => {
 	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => sendChat(node.callerUrl, {stream: true}))));
 	expect(answers.map(answer => joinStream(answer.text))).toEqual(['t1 t2 t3 t4 t5 ', 't1 t2 t3 t4 t5 ']);
 });
 
-test('gives several choices', async () => {
+test('returns several choices', async () => {
 	const answer = await fleet.settle(sendChat(url, {n: 2, max_tokens: 2}));
 	const {choices} = JSON.parse(answer.text) as {choices: Array<{message: {content: string}}>};
 	expect(choices.map(choice => choice.message.content)).toEqual(['t1 t2 ', 't1 t2 ']);
 });
 
-test('passes calls on plain services on', async () => {
+test('proxies calls to plain services', async () => {
 	const answer = await fleet.settle(call(`${url}/tessere/37?layer=rain`, {body: 'north'}));
 	expect(JSON.parse(answer.text)).toEqual({
 		method: 'POST', path: '/tessere/37?layer=rain', organisation: standinFleet.organisation, body: 'north', run: 1,
@@ -64,7 +64,7 @@
 	expect((JSON.parse(answer.text) as {data: Array<{id: string}>}).data.map(model => model.id)).toEqual([standinFleet.service]);
 });
 
-test('tells addresses of the asked-for zone first', async () => {
+test('lists addresses of the requested availability zone first', async () => {
 	const answer = await fleet.settle(call(`${url}/v1/addresses?availabilityZone=catania-b`, {method: 'GET'}));
 	const {addresses, lifetimeSeconds} = JSON.parse(answer.text) as {addresses: Array<{availabilityZone: string; url: string}>; lifetimeSeconds: number};
 	expect(addresses.map(entry => entry.availabilityZone)).toEqual(['catania-b', 'catania-a']);
@@ -100,20 +100,20 @@
 	expect(readError(answer).code).toBe('unknown_path');
 });
 
-test('messages that are no objects are refused before anything runs', async () => {
+test('messages that are not objects are refused before anything runs', async () => {
 	const answers = await Promise.all([null, 'text', 5].map(async message => fleet.settle(call(`${url}/v1/chat/completions`, {body: buildChatBody({messages: [message]})}))));
 	expect(answers.map(answer => [answer.status, readError(answer).code, readError(answer).ran])).toEqual([
 		[400, 'invalid_request', 'no'], [400, 'invalid_request', 'no'], [400, 'invalid_request', 'no'],
 	]);
 });
 
-test('a whole answer says when it was made, also when the engine does not', async () => {
+test('a complete response has a creation time even if the engine sends none', async () => {
 	const answer = await fleet.settle(sendChat(url));
 	const {created} = JSON.parse(answer.text) as {created: number};
 	expect(created).toBe(Math.floor(fleet.clock.now().getTime() / 1000));
 });
 
-test('heads that cannot be read are refused in the shape of every other error', async () => {
+test('malformed request heads are refused in the common error format', async () => {
 	const {hostname, port} = new URL(url);
 	const head = 'POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n';
 	const answers = await Promise.all([
