--- a/src/node/callers-controller.ts
+++ b/src/node/callers-controller.ts
@@ -6,9 +6,9 @@
 import type {FastifyReply, FastifyRequest} from 'fastify';
 import type {AvailabilityZone} from '../common/index.js';
 import {
-	HttpAnswerSink, sendFailure, type Entry, type RawRequest,
+	HttpResponseSink, sendFailure, type Entry, type RawRequest,
 } from './entry/index.js';
-import type {AddressAnswer} from './entry/addresses.js';
+import type {AddressResponse} from './entry/addresses.js';
 
 /** Injection token of what the controller serves from. */
 export const callersToken = Symbol('callers');
@@ -30,7 +30,7 @@
 
 	/** The entry addresses to use, those of the asked-for availability zone first. */
 	@Get('v1/addresses')
-	listAddresses(@Query('availabilityZone') zone: string | undefined): AddressAnswer {
+	listAddresses(@Query('availabilityZone') zone: string | undefined): AddressResponse {
 		return this.#context.entry.listAddresses((zone ?? this.#context.availabilityZone) as AvailabilityZone);
 	}
 
@@ -77,7 +77,7 @@
 }
 
 /** From here on the answer is written to the connection itself, so that it can be streamed and held back. */
-function takeSink(reply: FastifyReply): HttpAnswerSink {
+function takeSink(reply: FastifyReply): HttpResponseSink {
 	void reply.hijack();
-	return new HttpAnswerSink(reply.raw);
+	return new HttpResponseSink(reply.raw);
 }
--- a/src/node/entry/addresses.ts
+++ b/src/node/entry/addresses.ts
@@ -10,7 +10,7 @@
 };
 
 /** Response body of `/v1/addresses`. */
-export type AddressAnswer = {
+export type AddressResponse = {
 	addresses: AddressEntry[];
 	/** Seconds for which a caller may cache the response. */
 	lifetimeSeconds: number;
--- a/src/node/entry/chunk-checker.ts
+++ b/src/node/entry/chunk-checker.ts
@@ -5,7 +5,7 @@
 import type {Operation} from './caller-request.js';
 
 /** Result of checking one event. */
-export type CheckedEvent =
+export type EventCheckResult =
 	/** The next chunk in sequence. */
 	| {kind: 'chunk'; chunk: JsonObject}
 	/** The finish marker; the completion is complete. */
@@ -38,7 +38,7 @@
 	}
 
 	/** Checks the next event. */
-	check(event: EngineEvent): CheckedEvent {
+	check(event: EngineEvent): EventCheckResult {
 		if (event.sequence <= this.#lastSequence) {
 			return {kind: 'repeated'};
 		}
@@ -54,7 +54,7 @@
 		return this.#checkChunk(event);
 	}
 
-	#checkMarker(): CheckedEvent {
+	#checkMarker(): EventCheckResult {
 		if (this.#unfinishedChoices.size > 0) {
 			return {kind: 'broken', reason: 'finish marker received before every choice had finished'};
 		}
@@ -63,7 +63,7 @@
 		return {kind: 'finished'};
 	}
 
-	#checkChunk(event: EngineEvent): CheckedEvent {
+	#checkChunk(event: EngineEvent): EventCheckResult {
 		const chunk = parseChunk(event.data);
 		if (chunk === undefined) {
 			return {kind: 'broken', reason: 'chunk is not a JSON object'};
--- a/src/node/entry/completion-run.ts
+++ b/src/node/entry/completion-run.ts
@@ -12,8 +12,8 @@
 	createFailure, waitFor, type BackendServerId, type Clock, type Failure, type Logger, type Metrics, type RequestId,
 } from '../../common/index.js';
 import type {Grant} from '../dispatch/index.js';
-import {AnswerWriter} from './answer-writer.js';
-import {sendFailure, type AnswerSink} from './answer-sink.js';
+import {ResponseWriter} from './response-writer.js';
+import {sendFailure, type ResponseSink} from './response-sink.js';
 import {formatAttemptId, type CallerRequest, type RequestOutcome} from './caller-request.js';
 import {ChunkChecker} from './chunk-checker.js';
 import type {GrantClient} from './grant-client.js';
@@ -56,17 +56,17 @@
 export class CompletionRun {
 	readonly #parts: CompletionRunParts;
 	readonly #request: CallerRequest;
-	readonly #sink: AnswerSink;
+	readonly #sink: ResponseSink;
 	readonly #cancellation: RequestCancellation;
-	readonly #writer: AnswerWriter;
+	readonly #writer: ResponseWriter;
 	readonly #excluded: BackendServerId[] = [];
 
-	constructor(parts: CompletionRunParts, request: CallerRequest, sink: AnswerSink, cancellation: RequestCancellation) {
+	constructor(parts: CompletionRunParts, request: CallerRequest, sink: ResponseSink, cancellation: RequestCancellation) {
 		this.#parts = parts;
 		this.#request = request;
 		this.#sink = sink;
 		this.#cancellation = cancellation;
-		this.#writer = new AnswerWriter(request, sink, parts);
+		this.#writer = new ResponseWriter(request, sink, parts);
 	}
 
 	/** Serves the request; resolves after the sink has been ended. */
--- a/src/node/entry/deadline-sink.ts
+++ b/src/node/entry/deadline-sink.ts
@@ -1,15 +1,15 @@
 /** A sink whose reader has a deadline of its own. */
 import {joinSignals} from '../../common/index.js';
 import type {AnswerHead} from '../../rpc/index.js';
-import {AnswerSink} from './answer-sink.js';
+import {ResponseSink} from './response-sink.js';
 
 /** Forwards a response to another sink; counts as disconnected once the deadline signal is aborted. */
-export class DeadlineSink extends AnswerSink {
+export class DeadlineSink extends ResponseSink {
 	override readonly disconnected: AbortSignal;
-	readonly #sink: AnswerSink;
+	readonly #sink: ResponseSink;
 	#hasEnded = false;
 
-	constructor(sink: AnswerSink, deadline: AbortSignal) {
+	constructor(sink: ResponseSink, deadline: AbortSignal) {
 		super();
 		this.#sink = sink;
 		this.disconnected = joinSignals([sink.disconnected, deadline]).signal;
--- a/src/node/entry/entry.ts
+++ b/src/node/entry/entry.ts
@@ -11,8 +11,8 @@
 import type {EntrySettings} from '../../settings/index.js';
 import type {FleetView} from '../config/index.js';
 import type {Members} from '../membership/members.js';
-import {listAddresses, type AddressAnswer} from './addresses.js';
-import {sendFailure, type AnswerSink} from './answer-sink.js';
+import {listAddresses, type AddressResponse} from './addresses.js';
+import {sendFailure, type ResponseSink} from './response-sink.js';
 import {formatRequestId, type CallerRequest, type RequestOutcome} from './caller-request.js';
 import {CompletionRun} from './completion-run.js';
 import {FrameSink} from './frame-sink.js';
@@ -85,12 +85,12 @@
 	}
 
 	/** Serves a completion; resolves after the sink has been ended. */
-	async serveCompletion(raw: RawRequest, operation: 'chat' | 'text', sink: AnswerSink): Promise<void> {
+	async serveCompletion(raw: RawRequest, operation: 'chat' | 'text', sink: ResponseSink): Promise<void> {
 		await this.#serve(raw, sink, async parts => parseCompletion(raw, operation, parts));
 	}
 
 	/** Serves a call to a plain service; resolves after the sink has been ended. */
-	async servePlain(raw: RawRequest, sink: AnswerSink): Promise<void> {
+	async servePlain(raw: RawRequest, sink: ResponseSink): Promise<void> {
 		await this.#serve(raw, sink, async parts => parsePlainCall(raw, parts));
 	}
 
@@ -109,7 +109,7 @@
 	}
 
 	/** Lists the entry addresses that callers may use, those in their availability zone first. */
-	listAddresses(zone: AvailabilityZone): AddressAnswer {
+	listAddresses(zone: AvailabilityZone): AddressResponse {
 		return {
 			addresses: listAddresses(this.#parts.members.listReady(), zone, {second: this.runKeys.readSecond(), random: this.#parts.random}),
 			lifetimeSeconds: this.#parts.settings.addressLifetimeSeconds,
@@ -127,7 +127,7 @@
 		this.#stopController.abort();
 	}
 
-	async #serve(raw: RawRequest, sink: AnswerSink, parse: (parts: ParseContext) => Promise<Either<Failure, CallerRequest>>): Promise<void> {
+	async #serve(raw: RawRequest, sink: ResponseSink, parse: (parts: ParseContext) => Promise<Either<Failure, CallerRequest>>): Promise<void> {
 		const refusal = this.#findRefusal(raw.body.length);
 		if (refusal !== undefined) {
 			this.#parts.metrics.incrementCounter('refusals', {kind: refusal.kind});
@@ -149,7 +149,7 @@
 		}
 	}
 
-	async #serveParsed(parsed: Either<Failure, CallerRequest>, sink: AnswerSink): Promise<void> {
+	async #serveParsed(parsed: Either<Failure, CallerRequest>, sink: ResponseSink): Promise<void> {
 		if (parsed.isLeft()) {
 			const failure = parsed.extract();
 			this.#parts.metrics.incrementCounter('refusals', {kind: failure.kind});
@@ -164,7 +164,7 @@
 		this.#record(request, outcome);
 	}
 
-	async #writeForwarded(keyed: KeyedRequest, parts: RunKeyParts, sink: AnswerSink): Promise<void> {
+	async #writeForwarded(keyed: KeyedRequest, parts: RunKeyParts, sink: ResponseSink): Promise<void> {
 		this.#inProgress++;
 		try {
 			const raw = {
@@ -188,7 +188,7 @@
 		}
 	}
 
-	async #run(request: CallerRequest, sink: AnswerSink): Promise<RequestOutcome> {
+	async #run(request: CallerRequest, sink: ResponseSink): Promise<RequestOutcome> {
 		this.#retryBudget.recordRequest();
 		const cancellation = new RequestCancellation(this.#parts.clock, request.deadline, sink.disconnected, this.#stopController.signal);
 		const parts = {...this.#parts, retryBudget: this.#retryBudget, estimator: this.#estimator};
--- a/src/node/entry/frame-sink.ts
+++ b/src/node/entry/frame-sink.ts
@@ -1,13 +1,13 @@
 /** Encodes a response as frames for the node that forwarded the request. */
 import {Buffer} from 'node:buffer';
 import type {AnswerFrame, AnswerHead} from '../../rpc/index.js';
-import {AnswerSink} from './answer-sink.js';
+import {ResponseSink} from './response-sink.js';
 
 /** Frames queued for a slow reader before the sink counts as full. */
 const maxQueuedFrames = 64;
 
 /** A sink that is read as a sequence of frames. */
-export class FrameSink extends AnswerSink {
+export class FrameSink extends ResponseSink {
 	readonly #frames: AnswerFrame[] = [];
 	readonly #disconnected: AbortSignal;
 	#hasStarted = false;
--- a/src/node/entry/grant-client.ts
+++ b/src/node/entry/grant-client.ts
@@ -156,10 +156,10 @@
 
 		this.#wake = stop;
 		signal.addEventListener('abort', stop, {once: true});
-		const isDue = [...this.#accounts.values()].some(account => account.released.length > 0);
-		await waitFor(this.#clock, isDue ? releaseDelay : heartbeatInterval, waiting.signal);
+		const hasReleases = [...this.#accounts.values()].some(account => account.released.length > 0);
+		await waitFor(this.#clock, hasReleases ? releaseDelay : heartbeatInterval, waiting.signal);
 		signal.removeEventListener('abort', stop);
-		if (!isDue) {
+		if (!hasReleases) {
 			await waitFor(this.#clock, releaseDelay, signal);
 		}
 	}
--- a/src/node/entry/index.ts
+++ b/src/node/entry/index.ts
@@ -1,4 +1,4 @@
-export * from './answer-sink.js';
+export * from './response-sink.js';
 export * from './caller-request.js';
 export * from './grant-client.js';
 export * from './prompt-prefixes.js';
--- a/src/node/entry/keyed-router.ts
+++ b/src/node/entry/keyed-router.ts
@@ -11,8 +11,8 @@
 } from '../../common/index.js';
 import type {AnswerFrame, KeyedRequest, NodeClients} from '../../rpc/index.js';
 import type {Members} from '../membership/members.js';
-import {boundHeader} from './headers.js';
-import {sendFailure, type AnswerSink} from './answer-sink.js';
+import {timeLimitHeader} from './headers.js';
+import {sendFailure, type ResponseSink} from './response-sink.js';
 import {DeadlineSink} from './deadline-sink.js';
 import type {Recording} from './recording.js';
 import type {CallerRequest, RequestOutcome} from './caller-request.js';
@@ -25,7 +25,7 @@
 	clients: NodeClients;
 	ownIncarnation: Incarnation;
 	/** Runs a request and writes the response to the sink. */
-	runRequest: (request: CallerRequest, sink: AnswerSink) => Promise<RequestOutcome>;
+	runRequest: (request: CallerRequest, sink: ResponseSink) => Promise<RequestOutcome>;
 };
 
 /** Timeout for asking a node whether it owns an incarnation's keys, in milliseconds. */
@@ -49,7 +49,7 @@
 	}
 
 	/** Serves a request with a run key; resolves after the sink has been ended. */
-	async serve(request: CallerRequest, sink: AnswerSink): Promise<RequestOutcome> {
+	async serve(request: CallerRequest, sink: ResponseSink): Promise<RequestOutcome> {
 		const parsed = parseRunKey(request.runKey!);
 		if (parsed.isLeft()) {
 			return this.#fail(request, sink, parsed.extract());
@@ -62,7 +62,7 @@
 	}
 
 	/** Serves a request whose key this process owns. */
-	async serveLocally(request: CallerRequest, parts: RunKeyParts, sink: AnswerSink): Promise<RequestOutcome> {
+	async serveLocally(request: CallerRequest, parts: RunKeyParts, sink: ResponseSink): Promise<RequestOutcome> {
 		const claim = this.#parts.runKeys.claim(request.organisation, request.runKey!, parts, computeFingerprint(request));
 		if (claim.isLeft()) {
 			return this.#fail(request, sink, claim.extract());
@@ -94,7 +94,7 @@
 	}
 
 	/** Replays the recording of another caller's run; fails at this caller's own deadline if that is earlier. */
-	async #replayRecording(request: CallerRequest, recording: Recording, sink: AnswerSink): Promise<RequestOutcome> {
+	async #replayRecording(request: CallerRequest, recording: Recording, sink: ResponseSink): Promise<RequestOutcome> {
 		const {clock} = this.#parts.clients;
 		const limit = createTimeout(clock, request.deadline - clock.readMonotonic());
 		const deadlineSink = new DeadlineSink(sink, limit.signal);
@@ -105,7 +105,7 @@
 			: {};
 	}
 
-	async #serveRemotely(request: CallerRequest, parts: RunKeyParts, sink: AnswerSink): Promise<RequestOutcome> {
+	async #serveRemotely(request: CallerRequest, parts: RunKeyParts, sink: ResponseSink): Promise<RequestOutcome> {
 		const {members} = this.#parts;
 		// Tried even if this node's view does not list the owner: the view may lag behind a new node's registration.
 		const result = await this.#forward(parts.url, request, sink);
@@ -126,7 +126,7 @@
 	}
 
 	/** Forwards the request and writes the response to the sink. */
-	async #forward(url: string, request: CallerRequest, sink: AnswerSink): Promise<ForwardResult> {
+	async #forward(url: string, request: CallerRequest, sink: ResponseSink): Promise<ForwardResult> {
 		const limit = new AbortController();
 		const stop = () => {
 			limit.abort();
@@ -145,7 +145,7 @@
 		}
 	}
 
-	async #endBrokenForward(request: CallerRequest, sink: AnswerSink): Promise<ForwardResult> {
+	async #endBrokenForward(request: CallerRequest, sink: ResponseSink): Promise<ForwardResult> {
 		if (!sink.hasStarted) {
 			return 'unreachable';
 		}
@@ -162,7 +162,7 @@
 			operation: request.operation,
 			method: request.method,
 			url: request.path,
-			headers: {...request.rawHeaders, [boundHeader]: String(left)},
+			headers: {...request.rawHeaders, [timeLimitHeader]: String(left)},
 			body: Buffer.from(request.body).toString('base64'),
 		};
 	}
@@ -177,13 +177,13 @@
 		return answers.find(url => url !== undefined);
 	}
 
-	async #fail(request: CallerRequest, sink: AnswerSink, failure: Failure): Promise<RequestOutcome> {
+	async #fail(request: CallerRequest, sink: ResponseSink, failure: Failure): Promise<RequestOutcome> {
 		sendFailure(sink, failure, request.completion?.stream === true);
 		return {failure};
 	}
 }
 
-async function writeFrames(frames: AsyncIterable<AnswerFrame>, sink: AnswerSink): Promise<ForwardResult> {
+async function writeFrames(frames: AsyncIterable<AnswerFrame>, sink: ResponseSink): Promise<ForwardResult> {
 	for await (const frame of frames) {
 		switch (frame.kind) {
 			case 'head': {
--- a/src/node/entry/length-class.ts
+++ b/src/node/entry/length-class.ts
@@ -1,7 +1,7 @@
 /** Classes of prompt length, used as labels of latency metrics and in reports. Pure. */
 
 /** Inclusive upper limits of the classes in tokens, and their names. */
-const classes: ReadonlyArray<readonly [number, string]> = [
+const lengthClasses: ReadonlyArray<readonly [number, string]> = [
 	[2000, 'to-2k'],
 	[8000, 'to-8k'],
 	[32_000, 'to-32k'],
@@ -11,7 +11,7 @@
 
 /** Returns the name of a prompt's length class. */
 export function findLengthClass(promptTokens: number): string {
-	return classes.find(([end]) => promptTokens <= end)?.[1] ?? 'over-100k';
+	return lengthClasses.find(([end]) => promptTokens <= end)?.[1] ?? 'over-100k';
 }
 
 /** Maximum length of a short prompt, in tokens. */
@@ -27,8 +27,8 @@
 	/** Records a short request's time to first token in milliseconds and returns its slowdown; 1 means none. */
 	measure(service: string, promptTokens: number, firstToken: number): number {
 		const key = `${service}/${findLengthClass(promptTokens)}`;
-		const known = this.#baselines.get(key) ?? firstToken;
-		const baseline = Math.max(1, Math.min(firstToken, known * (1 + baselineGrowth)));
+		const previous = this.#baselines.get(key) ?? firstToken;
+		const baseline = Math.max(1, Math.min(firstToken, previous * (1 + baselineGrowth)));
 		this.#baselines.set(key, baseline);
 		return Math.max(1, firstToken / baseline);
 	}
--- a/src/node/entry/parse-request.ts
+++ b/src/node/entry/parse-request.ts
@@ -8,7 +8,7 @@
 import type {Entry, FleetView} from '../config/index.js';
 import {noPrefixes} from '../dispatch/index.js';
 import type {CallerRequest, CompletionBody, Operation} from './caller-request.js';
-import {boundHeader, notRepeatableHeader, runKeyHeader} from './headers.js';
+import {timeLimitHeader, notRepeatableHeader, runKeyHeader} from './headers.js';
 import {parseJsonBody} from './large-body.js';
 import type {TokenEstimator} from './token-estimator.js';
 
@@ -30,7 +30,7 @@
 };
 
 const plainServiceHeaders = ['accept', 'accept-language', 'content-type'];
-const forwardedHeaders = [...plainServiceHeaders, 'authorization', boundHeader, notRepeatableHeader, runKeyHeader];
+const forwardedHeaders = [...plainServiceHeaders, 'authorization', timeLimitHeader, notRepeatableHeader, runKeyHeader];
 const repeatableMethods = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
 
 const positiveInteger = z.int().positive().nullish();
@@ -130,7 +130,7 @@
 };
 
 function buildRequest({raw, operation, organisation, service, completion}: ResolvedRequest, parts: ParseContext): Either<Failure, CallerRequest> {
-	return parseTimeBound(raw.headers, service).chain(bound => parseRunFlags(raw, operation).map(flags => {
+	return parseTimeLimit(raw.headers, service).chain(timeLimit => parseRunFlags(raw, operation).map(flags => {
 		const name = service.name as ServiceName;
 		const arrivedAt = parts.clock.readMonotonic();
 		const requestId = parts.createRequestId();
@@ -151,22 +151,22 @@
 			prefixes: noPrefixes,
 			outputTokens: operation === 'plain' ? 0 : countOutputTokens(completion, service),
 			arrivedAt,
-			deadline: arrivedAt + bound,
+			deadline: arrivedAt + timeLimit,
 			...flags,
 		};
 	}));
 }
 
-function parseTimeBound(headers: IncomingHttpHeaders, service: Entry<'Service'>): Either<Failure, number> {
-	const text = headers[boundHeader];
+function parseTimeLimit(headers: IncomingHttpHeaders, service: Entry<'Service'>): Either<Failure, number> {
+	const text = headers[timeLimitHeader];
 	if (text === undefined) {
 		return Right(service.defaultBound);
 	}
 
-	const bound = Number(text);
-	return Number.isInteger(bound) && bound >= 1 && bound <= service.longestBound
-		? Right(bound)
-		: Left(createFailure('invalid_time_bound', `${boundHeader} is '${String(text)}'; it must be whole milliseconds from 1 to ${service.longestBound}`));
+	const timeLimit = Number(text);
+	return Number.isInteger(timeLimit) && timeLimit >= 1 && timeLimit <= service.longestBound
+		? Right(timeLimit)
+		: Left(createFailure('invalid_time_bound', `${timeLimitHeader} is '${String(text)}'; it must be whole milliseconds from 1 to ${service.longestBound}`));
 }
 
 function parseRunFlags(raw: RawRequest, operation: Operation): Either<Failure, {isRepeatable: boolean; runKey: RunKey | undefined}> {
--- a/src/node/entry/plain-run.ts
+++ b/src/node/entry/plain-run.ts
@@ -4,7 +4,7 @@
 	createFailure, type BackendServerId, type Clock, type Failure, type Logger, type Metrics,
 } from '../../common/index.js';
 import type {Grant} from '../dispatch/index.js';
-import {sendFailure, type AnswerSink} from './answer-sink.js';
+import {sendFailure, type ResponseSink} from './response-sink.js';
 import {formatAttemptId, type CallerRequest, type RequestOutcome} from './caller-request.js';
 import type {GrantClient, HeldGrant} from './grant-client.js';
 import type {RequestCancellation} from './request-cancellation.js';
@@ -34,12 +34,12 @@
 export class PlainRun {
 	readonly #parts: PlainRunParts;
 	readonly #request: CallerRequest;
-	readonly #sink: AnswerSink;
+	readonly #sink: ResponseSink;
 	readonly #cancellation: RequestCancellation;
 	readonly #excluded: BackendServerId[] = [];
 	#timeToFirstByte: number | undefined;
 
-	constructor(parts: PlainRunParts, request: CallerRequest, sink: AnswerSink, cancellation: RequestCancellation) {
+	constructor(parts: PlainRunParts, request: CallerRequest, sink: ResponseSink, cancellation: RequestCancellation) {
 		this.#parts = parts;
 		this.#request = request;
 		this.#sink = sink;
--- a/src/node/entry/recording.ts
+++ b/src/node/entry/recording.ts
@@ -1,10 +1,10 @@
 /** Stores a response for every caller that sends the same run key, during the run and after it. */
 import {Buffer} from 'node:buffer';
 import type {AnswerHead, StoredAnswer} from '../../rpc/index.js';
-import {AnswerSink} from './answer-sink.js';
+import {ResponseSink} from './response-sink.js';
 
 /** Records a response and replays it, also while it is still being written. */
-export class Recording extends AnswerSink {
+export class Recording extends ResponseSink {
 	/** Restores a recording exported by another node. */
 	static restore(stored: StoredAnswer): Recording {
 		const recording = new Recording();
@@ -103,7 +103,7 @@
 	}
 
 	/** Replays the response into a sink, following a run in progress. Stops when the sink's reader disconnects. */
-	async replayInto(sink: AnswerSink): Promise<void> {
+	async replayInto(sink: ResponseSink): Promise<void> {
 		this.#readerCount++;
 		try {
 			let next = 0;
@@ -128,7 +128,7 @@
 		}
 	}
 
-	#finish(sink: AnswerSink): void {
+	#finish(sink: ResponseSink): void {
 		if (this.#state === 'cut') {
 			sink.abort();
 		} else {
--- a/src/node/entry/answer-sink.ts
+++ b/src/node/entry/response-sink.ts
@@ -5,7 +5,7 @@
 import type {AnswerHead} from '../../rpc/index.js';
 
 /** Receives a response chunk by chunk. */
-export abstract class AnswerSink {
+export abstract class ResponseSink {
 	/** Whether `start` has been called. */
 	abstract readonly hasStarted: boolean;
 
@@ -35,7 +35,7 @@
 }
 
 /** Sends a response over a caller's HTTP connection. */
-export class HttpAnswerSink extends AnswerSink {
+export class HttpResponseSink extends ResponseSink {
 	readonly #response: ServerResponse;
 	readonly #disconnected = new AbortController();
 	#hasStarted = false;
@@ -133,7 +133,7 @@
 }
 
 /** Ends a response with a failure: an error response before the first chunk, an error event in an event stream, otherwise a connection reset. */
-export function sendFailure(sink: AnswerSink, failure: Failure, isEventStream: boolean): void {
+export function sendFailure(sink: ResponseSink, failure: Failure, isEventStream: boolean): void {
 	const body = JSON.stringify(formatErrorBody(failure));
 	if (!sink.hasStarted) {
 		const head = formatErrorHead(failure);
--- a/src/node/entry/answer-writer.ts
+++ b/src/node/entry/response-writer.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import type {Clock, Metrics} from '../../common/index.js';
 import {ChunkMerger, type JsonObject} from './chunk-merger.js';
-import type {AnswerSink} from './answer-sink.js';
+import type {ResponseSink} from './response-sink.js';
 import {buildContinuation} from './continuation.js';
 import type {CallerRequest, CompletionBody} from './caller-request.js';
 import type {TokenEstimator} from './token-estimator.js';
@@ -12,14 +12,14 @@
 const millisecondsPerSecond = 1000;
 
 /** Writes the response to one request across its attempts. */
-export class AnswerWriter {
+export class ResponseWriter {
 	/** Whether the caller asked for a stream. */
 	readonly isStream: boolean;
 	/** Number of choices requested (`n`). */
 	readonly choiceCount: number;
 	readonly #request: CallerRequest;
 	readonly #completion: CompletionBody;
-	readonly #sink: AnswerSink;
+	readonly #sink: ResponseSink;
 	readonly #parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator};
 	readonly #isUsageRequested: boolean;
 	#merger: ChunkMerger;
@@ -30,7 +30,7 @@
 	#timeToFirstToken: number | undefined;
 	#isContinued = false;
 
-	constructor(request: CallerRequest, sink: AnswerSink, parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator}) {
+	constructor(request: CallerRequest, sink: ResponseSink, parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator}) {
 		if (request.completion === undefined) {
 			throw new TypeError('the request is not a completion');
 		}
--- a/src/node/entry/token-estimator.ts
+++ b/src/node/entry/token-estimator.ts
@@ -27,7 +27,7 @@
 			return;
 		}
 
-		const known = this.readRatio(service);
-		this.#ratios.set(service, (known * (1 - smoothing)) + ((tokens / bytes) * smoothing));
+		const previous = this.readRatio(service);
+		this.#ratios.set(service, (previous * (1 - smoothing)) + ((tokens / bytes) * smoothing));
 	}
 }
