--- a/src/node/entry/addresses.ts
+++ b/src/node/entry/addresses.ts
@@ -1,46 +1,46 @@
-/** Which entry addresses callers are told to use. Pure. */
+/** Selects the entry addresses returned by `/v1/addresses`. Pure. */
 import {formatAddressToken, type AvailabilityZone, type Incarnation} from '../../common/index.js';
 
-/** One address of an answer. */
+/** One address in the response. */
 export type AddressEntry = {
 	url: string;
 	availabilityZone: string;
-	/** Token from which run keys are made: `TOKEN.UUID`. */
+	/** Address token; a caller builds a run key from it as `TOKEN.UUID`. */
 	incarnation: string;
 };
 
-/** Answer of `/v1/addresses`. */
-export type AddressAnswer = {
+/** Response body of `/v1/addresses`. */
+export type AddressResponse = {
 	addresses: AddressEntry[];
-	/** Seconds for which the answer may be kept. */
+	/** Seconds for which a caller may cache the response. */
 	lifetimeSeconds: number;
 };
 
-/** A node as far as addresses need it. */
-export type AddressSource = {
+/** The fields of a node from which its address entry is built. */
+export type AddressableNode = {
 	callerUrl: string;
 	availabilityZone: string;
 	incarnation: Incarnation;
 };
 
-/** Addresses in one answer. */
-const mostAddresses = 8;
+/** Maximum number of addresses in one response. */
+const maxAddresses = 8;
 
 /**
- * Orders the addresses: those of the caller's availability zone first, and within
- * a zone turned by a random number, so that callers do not all pick the same.
+ * Orders the addresses: those in the caller's availability zone first, the rest after them.
+ * Both groups are rotated by a random offset, so that callers spread over the nodes.
  */
-export function listAddresses(sources: AddressSource[], zone: AvailabilityZone, {second, random}: {second: number; random: () => number}): AddressEntry[] {
-	const near = turnList(sources.filter(source => source.availabilityZone === zone), random());
-	const far = turnList(sources.filter(source => source.availabilityZone !== zone), random());
-	return [...near, ...far].slice(0, mostAddresses).map(source => ({
-		url: source.callerUrl,
-		availabilityZone: source.availabilityZone,
-		incarnation: formatAddressToken(source.incarnation, second),
+export function listAddresses(nodes: AddressableNode[], zone: AvailabilityZone, {second, random}: {second: number; random: () => number}): AddressEntry[] {
+	const sameZone = rotateList(nodes.filter(node => node.availabilityZone === zone), random());
+	const otherZones = rotateList(nodes.filter(node => node.availabilityZone !== zone), random());
+	return [...sameZone, ...otherZones].slice(0, maxAddresses).map(node => ({
+		url: node.callerUrl,
+		availabilityZone: node.availabilityZone,
+		incarnation: formatAddressToken(node.incarnation, second),
 	}));
 }
 
-function turnList<Item>(items: Item[], turn: number): Item[] {
-	const start = Math.floor(turn * items.length);
+function rotateList<Item>(items: Item[], fraction: number): Item[] {
+	const start = Math.floor(fraction * items.length);
 	return [...items.slice(start), ...items.slice(0, start)];
 }
--- a/src/node/entry/chunk-check.ts
+++ b/src/node/entry/chunk-checker.ts
@@ -1,50 +1,50 @@
-/** Checks each event of an answer: that it belongs to the request, comes in order, and that the answer is whole. Pure. */
+/** Verifies the events of a completion stream: order, request id and completeness. Pure. */
 import {finishMarker, type EngineEvent} from '../../backends/index.js';
 import type {RequestId} from '../../common/index.js';
-import type {JsonObject} from './answer-merge.js';
+import type {JsonObject} from './chunk-merger.js';
 import type {Operation} from './caller-request.js';
 
-/** What an event turned out to be. */
-export type CheckedEvent =
-	/** The next chunk. */
+/** Result of checking one event. */
+export type EventCheckResult =
+	/** The next chunk in sequence. */
 	| {kind: 'chunk'; chunk: JsonObject}
-	/** The marker of a whole answer. */
+	/** The finish marker; the completion is complete. */
 	| {kind: 'finished'}
-	/** Seen before; to be left out. */
+	/** A duplicate of an earlier event; ignored. */
 	| {kind: 'repeated'}
-	/** Events are missing before it, or it cannot be read, or the marker came too early: resume from the last good one. */
+	/** Sequence gap, unparsable event or premature finish marker; resume after the last valid event. */
 	| {kind: 'broken'; reason: string}
-	/** A chunk of another request. */
+	/** A chunk that belongs to another request. */
 	| {kind: 'crossed'};
 
 const idPrefixes = {chat: 'chatcmpl-', text: 'cmpl-', plain: ''} as const;
 
-/** Follows one attempt on one engine. */
-export class ChunkCheck {
+/** Checks the event stream of one attempt on one engine. */
+export class ChunkChecker {
 	readonly #expectedId: string;
 	#lastSequence = 0;
-	readonly #open = new Set<number>();
+	readonly #unfinishedChoices = new Set<number>();
 
 	constructor(operation: Operation, attemptId: RequestId, choiceCount: number) {
 		this.#expectedId = `${idPrefixes[operation]}${attemptId}`;
 		for (let index = 0; index < choiceCount; index++) {
-			this.#open.add(index);
+			this.#unfinishedChoices.add(index);
 		}
 	}
 
-	/** Sequence number of the last good event; 0 before the first. */
+	/** Sequence number of the last valid event; 0 before the first. */
 	get lastSequence(): number {
 		return this.#lastSequence;
 	}
 
 	/** Checks the next event. */
-	check(event: EngineEvent): CheckedEvent {
+	check(event: EngineEvent): EventCheckResult {
 		if (event.sequence <= this.#lastSequence) {
 			return {kind: 'repeated'};
 		}
 
 		if (event.sequence !== this.#lastSequence + 1) {
-			return {kind: 'broken', reason: `event ${event.sequence} came after ${this.#lastSequence}`};
+			return {kind: 'broken', reason: `event ${event.sequence} follows event ${this.#lastSequence}`};
 		}
 
 		if (event.data === finishMarker) {
@@ -54,19 +54,19 @@
 		return this.#checkChunk(event);
 	}
 
-	#checkMarker(): CheckedEvent {
-		if (this.#open.size > 0) {
-			return {kind: 'broken', reason: 'the finish marker came before every choice had ended'};
+	#checkMarker(): EventCheckResult {
+		if (this.#unfinishedChoices.size > 0) {
+			return {kind: 'broken', reason: 'finish marker received before every choice had finished'};
 		}
 
 		this.#lastSequence++;
 		return {kind: 'finished'};
 	}
 
-	#checkChunk(event: EngineEvent): CheckedEvent {
+	#checkChunk(event: EngineEvent): EventCheckResult {
 		const chunk = parseChunk(event.data);
 		if (chunk === undefined) {
-			return {kind: 'broken', reason: 'a chunk is not a JSON object'};
+			return {kind: 'broken', reason: 'chunk is not a JSON object'};
 		}
 
 		if (chunk.id !== this.#expectedId) {
@@ -76,7 +76,7 @@
 		this.#lastSequence = event.sequence;
 		for (const choice of (chunk.choices ?? []) as JsonObject[]) {
 			if (typeof choice.finish_reason === 'string') {
-				this.#open.delete(Number(choice.index ?? 0));
+				this.#unfinishedChoices.delete(Number(choice.index ?? 0));
 			}
 		}
 
--- a/src/node/entry/answer-merge.ts
+++ b/src/node/entry/chunk-merger.ts
@@ -1,28 +1,27 @@
 /**
- * Puts the chunks of a streamed completion together into one whole answer.
+ * Merges the chunks of a streamed completion into one complete response.
  *
- * Engines are always asked for a stream, also when the caller wants a whole
- * answer, since only a stream can be checked piece by piece and resumed.
- * The rule is generic, so that fields newer than this code survive: strings of a
- * delta are joined, lists are merged by `index`, anything else is replaced.
+ * Engines always stream, because only a stream can be verified event by event and resumed.
+ * The merge is generic so that unknown fields are kept: strings of a delta are concatenated,
+ * lists are merged by `index`, anything else is replaced.
  */
 import type {Operation} from './caller-request.js';
 
 /** A JSON object. */
 export type JsonObject = Record<string, unknown>;
 
-/** Strings that name a thing and are sent once or repeated; they are not joined. */
-const replacedKeys = new Set(['id', 'role', 'type', 'name', 'object', 'model', 'finish_reason']);
+/** String fields that engines send once or repeat unchanged, so they are replaced instead of concatenated. */
+const nonConcatenatedKeys = new Set(['id', 'role', 'type', 'name', 'object', 'model', 'finish_reason']);
 
-/** Collects chunks. */
-export class AnswerMerge {
+/** Accumulates the chunks of one completion. */
+export class ChunkMerger {
 	readonly #operation: Operation;
-	#head: JsonObject = {};
+	#fields: JsonObject = {};
 	readonly #choices = new Map<number, JsonObject>();
 
 	readonly #createdSecond: number;
 
-	/** `createdSecond` is the Unix second that stands in the answer when the engine names none. */
+	/** `createdSecond` is the Unix time in seconds used for `created` if the engine sends none. */
 	constructor(operation: Operation, createdSecond: number) {
 		this.#operation = operation;
 		this.#createdSecond = createdSecond;
@@ -32,9 +31,9 @@
 	addChunk(chunk: JsonObject): void {
 		const {choices, ...head} = chunk;
 		for (const [key, value] of Object.entries(head)) {
-			// Chunks before the last carry `usage: null`.
+			// Every chunk but the last has `usage: null`, which must not overwrite a value.
 			if (value !== null) {
-				this.#head[key] = value;
+				this.#fields[key] = value;
 			}
 		}
 
@@ -44,18 +43,18 @@
 		}
 	}
 
-	/** Makes the whole answer in the shape that a request without `stream` gets. */
+	/** Builds the response body of a request without `stream`. */
 	build(): JsonObject {
 		const choices = [...this.#choices.entries()].sort(([left], [right]) => left - right).map(([, choice]) => choice);
-		const created = Number(this.#head.created ?? 0) > 0 ? this.#head.created : this.#createdSecond;
+		const created = Number(this.#fields.created ?? 0) > 0 ? this.#fields.created : this.#createdSecond;
 		if (this.#operation === 'text') {
 			return {
-				...this.#head, created, object: 'text_completion', choices,
+				...this.#fields, created, object: 'text_completion', choices,
 			};
 		}
 
 		return {
-			...this.#head,
+			...this.#fields,
 			created,
 			object: 'chat.completion',
 			choices: choices.map(({delta, ...choice}) => ({...choice, message: buildMessage(delta as JsonObject | undefined)})),
@@ -87,7 +86,7 @@
 	}
 
 	if (typeof before === 'string' && typeof after === 'string') {
-		return replacedKeys.has(key) ? after : before + after;
+		return nonConcatenatedKeys.has(key) ? after : before + after;
 	}
 
 	if (Array.isArray(before) && Array.isArray(after)) {
@@ -104,11 +103,11 @@
 function mergeLists(before: JsonObject[], after: JsonObject[]): JsonObject[] {
 	const merged = [...before];
 	for (const item of after) {
-		const place = item.index === undefined ? -1 : merged.findIndex(known => known.index === item.index);
-		if (place === -1) {
+		const position = item.index === undefined ? -1 : merged.findIndex(existing => existing.index === item.index);
+		if (position === -1) {
 			merged.push(item);
 		} else {
-			merged[place] = mergeObjects(merged[place], item);
+			merged[position] = mergeObjects(merged[position], item);
 		}
 	}
 
--- a/src/node/entry/completion-run.ts
+++ b/src/node/entry/completion-run.ts
@@ -1,9 +1,8 @@
 /**
  * Runs one completion from admission to its last token.
  *
- * A broken stream is resumed on the same engine. When the engine is gone the
- * request runs elsewhere if that can do no harm; else it is continued from the
- * tokens received, if the service allows; else it ends in a clear error.
+ * A broken stream is resumed on the same engine. If the engine is lost, a repeatable request is retried on another
+ * engine, or continued there from the text delivered so far if the service allows it; otherwise it fails.
  */
 import {Right, type Either} from 'purify-ts';
 import type {
@@ -13,126 +12,127 @@
 	createFailure, waitFor, type BackendServerId, type Clock, type Failure, type Logger, type Metrics, type RequestId,
 } from '../../common/index.js';
 import type {Grant} from '../dispatch/index.js';
-import {AnswerWriter} from './answer-writer.js';
-import {sendFailure, type AnswerSink} from './answer-sink.js';
+import {ResponseWriter} from './response-writer.js';
+import {sendFailure, type ResponseSink} from './response-sink.js';
 import {formatAttemptId, type CallerRequest, type RequestOutcome} from './caller-request.js';
-import {ChunkCheck} from './chunk-check.js';
+import {ChunkChecker} from './chunk-checker.js';
 import type {GrantClient} from './grant-client.js';
-import type {RequestBound} from './request-bound.js';
+import type {RequestCancellation} from './request-cancellation.js';
 import type {RetryBudget} from './retry-budget.js';
 import type {TokenEstimator} from './token-estimator.js';
 
-/** What runs need from the entry. */
-export type RunParts = {
+/** Dependencies of a completion run. */
+export type CompletionRunParts = {
 	clock: Clock;
 	logger: Logger;
 	metrics: Metrics;
 	engines: EngineClient;
 	canceller: Canceller;
 	grants: GrantClient;
-	budget: RetryBudget;
+	retryBudget: RetryBudget;
 	estimator: TokenEstimator;
 };
 
-/** Resumes without a new event in between before the engine counts as gone. */
-const mostResumes = 4;
-const firstResumeDelay = 50;
+/** Consecutive resumes without a new event after which the engine counts as lost. */
+const maxResumes = 4;
+/** Delay before the first resume, in milliseconds; doubles with each failed resume. */
+const initialResumeDelay = 50;
 
-/** Engines tried for one request. */
-const mostAttempts = 4;
+/** Maximum number of engines tried for one request. */
+const maxAttempts = 4;
 
-/** How one attempt on one engine ended. */
-type AttemptEnd =
+/** Result of one attempt on one engine. */
+type AttemptResult =
 	| {kind: 'finished'}
-	/** The request cannot succeed anywhere, or must not be tried again. */
+	/** The engine rejected the request, which is not retried. */
 	| {kind: 'failed'; failure: Failure}
-	/** Refused before running; free to go elsewhere. */
+	/** Refused before it ran; any request may be retried on another engine. */
 	| {kind: 'refused'; failure: Failure}
-	/** The engine is gone and may have run it. */
+	/** The engine was lost and may have run the request. */
 	| {kind: 'lost'; failure: Failure}
 	| {kind: 'aborted'};
 
-/** One completion being served. */
+/** Serves one completion. */
 export class CompletionRun {
-	readonly #parts: RunParts;
+	readonly #parts: CompletionRunParts;
 	readonly #request: CallerRequest;
-	readonly #sink: AnswerSink;
-	readonly #bound: RequestBound;
-	readonly #writer: AnswerWriter;
+	readonly #sink: ResponseSink;
+	readonly #cancellation: RequestCancellation;
+	readonly #writer: ResponseWriter;
 	readonly #excluded: BackendServerId[] = [];
 
-	constructor(parts: RunParts, request: CallerRequest, sink: AnswerSink, bound: RequestBound) {
+	constructor(parts: CompletionRunParts, request: CallerRequest, sink: ResponseSink, cancellation: RequestCancellation) {
 		this.#parts = parts;
 		this.#request = request;
 		this.#sink = sink;
-		this.#bound = bound;
-		this.#writer = new AnswerWriter(request, sink, parts);
+		this.#cancellation = cancellation;
+		this.#writer = new ResponseWriter(request, sink, parts);
 	}
 
-	/** Serves the request; the sink has been ended when this resolves. */
+	/** Serves the request; resolves after the sink has been ended. */
 	async run(): Promise<RequestOutcome> {
 		const failure = await this.#tryEngines();
 		if (failure !== undefined) {
 			sendFailure(this.#sink, failure, this.#writer.isStream);
 		}
 
-		return {failure, firstToken: this.#writer.firstToken};
+		return {failure, timeToFirstToken: this.#writer.timeToFirstToken};
 	}
 
 	async #tryEngines(): Promise<Failure | undefined> {
-		let hasRun = false;
+		let mayHaveRun = false;
 		for (let attempt = 1; ; attempt++) {
 			const attemptId = formatAttemptId(this.#request.requestId, attempt);
-			const obtained = await this.#parts.grants.obtain(this.#request, attemptId, this.#excluded, this.#bound.signal);
+			const obtained = await this.#parts.grants.obtain(this.#request, attemptId, this.#excluded, this.#cancellation.signal);
 			if (obtained.isLeft()) {
-				const failure = this.#bound.findFailure(hasRun) ?? obtained.extract();
-				return hasRun && failure.ran === undefined ? {...failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : failure;
+				const failure = this.#cancellation.findFailure(mayHaveRun) ?? obtained.extract();
+				return mayHaveRun && failure.ran === undefined ? {...failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : failure;
 			}
 
 			const {grant, usableUntil} = obtained.extract() as {grant: Grant; usableUntil: number};
-			const end = await this.#useGrant(grant, usableUntil, attemptId);
-			hasRun ||= end.kind === 'lost' || end.kind === 'aborted';
-			const verdict = this.#judge(end, attempt, hasRun);
-			if (verdict !== 'again') {
-				return verdict;
+			const result = await this.#useGrant(grant, usableUntil, attemptId);
+			mayHaveRun ||= result.kind === 'lost' || result.kind === 'aborted';
+			const decision = this.#evaluateAttempt(result, attempt, mayHaveRun);
+			if (decision !== 'retry') {
+				return decision;
 			}
 
 			this.#excluded.push(grant.backendServer);
 		}
 	}
 
-	/** Decides after an attempt: undefined when the answer is whole, a failure, or another attempt. */
-	#judge(end: AttemptEnd, attempt: number, hasRun: boolean): Failure | 'again' | undefined {
-		if (end.kind === 'finished') {
+	/** Returns `retry`, the failure to report, or undefined if the response is complete. */
+	#evaluateAttempt(result: AttemptResult, attempt: number, mayHaveRun: boolean): Failure | 'retry' | undefined {
+		if (result.kind === 'finished') {
 			return undefined;
 		}
 
-		if (end.kind === 'aborted') {
-			return this.#bound.findFailure(true);
+		if (result.kind === 'aborted') {
+			return this.#cancellation.findFailure(true);
 		}
 
-		if (end.kind === 'failed' || attempt >= mostAttempts) {
-			return end.failure;
+		if (result.kind === 'failed' || attempt >= maxAttempts) {
+			return result.failure;
 		}
 
-		// A refusal after an earlier attempt that may have run must not claim that nothing ran.
-		const failure: Failure = hasRun ? {...end.failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : end.failure;
-		if (end.kind === 'lost' && !this.#canRunAgain()) {
+		// If an earlier attempt may have run, a later refusal must not report that nothing ran.
+		const failure: Failure = mayHaveRun ? {...result.failure, ran: this.#writer.hasDelivered ? 'partly' : 'maybe'} : result.failure;
+		if (result.kind === 'lost' && !this.#canRetry()) {
 			return failure;
 		}
 
-		if (!this.#parts.budget.takeRetry()) {
+		if (!this.#parts.retryBudget.takeRetry()) {
 			return failure;
 		}
 
 		this.#parts.metrics.incrementCounter('retries', {service: this.#request.service});
 		this.#parts.logger.info({
 			event: 'retry', request: this.#request.requestId, attempt, reason: failure.message, continued: this.#writer.hasDelivered,
-		}, 'request runs again elsewhere');
-		return 'again';
+		}, 'retrying request on another engine');
+		return 'retry';
 	}
 
-	#canRunAgain(): boolean {
+	#canRetry(): boolean {
 		if (!this.#request.isRepeatable) {
 			return false;
 		}
@@ -140,22 +140,22 @@
 		return !this.#writer.hasDelivered || this.#writer.canContinue;
 	}
 
-	async #useGrant(grant: Grant, usableUntil: number, attemptId: RequestId): Promise<AttemptEnd> {
+	async #useGrant(grant: Grant, usableUntil: number, attemptId: RequestId): Promise<AttemptResult> {
 		if (this.#parts.clock.readMonotonic() > usableUntil) {
-			// The reply took longer than the grant lives: the dispatcher may have given its memory to others.
+			// The grant expired in transit; the dispatcher may already have reassigned its memory.
 			this.#parts.grants.release(grant);
-			return {kind: 'refused', failure: createFailure('no_dispatcher', 'the grant arrived too late to be used')};
+			return {kind: 'refused', failure: createFailure('no_dispatcher', 'the grant expired before it arrived')};
 		}
 
-		const end = await this.#runOnEngine(grant, attemptId);
-		if (end.kind === 'finished' || end.kind === 'refused') {
+		const result = await this.#runOnEngine(grant, attemptId);
+		if (result.kind === 'finished' || result.kind === 'refused') {
 			this.#parts.grants.release(grant);
 		} else {
-			// The caller does not wait for the engine's word; the memory does.
+			// The caller gets its error at once; the memory is released only when the engine has confirmed the cancellation.
 			void this.#cancelAndRelease(grant, attemptId);
 		}
 
-		return end;
+		return result;
 	}
 
 	async #cancelAndRelease(grant: Grant, attemptId: RequestId): Promise<void> {
@@ -163,63 +163,63 @@
 		this.#parts.grants.release(grant);
 	}
 
-	async #runOnEngine(grant: Grant, attemptId: RequestId): Promise<AttemptEnd> {
-		const check = new ChunkCheck(this.#request.operation, attemptId, this.#writer.choiceCount);
+	async #runOnEngine(grant: Grant, attemptId: RequestId): Promise<AttemptResult> {
+		const checker = new ChunkChecker(this.#request.operation, attemptId, this.#writer.choiceCount);
 		this.#writer.startAttempt();
 		const started = await this.#parts.engines.startCompletion({
 			url: grant.url,
 			path: this.#request.operation === 'chat' ? '/v1/chat/completions' : '/v1/completions',
 			requestId: attemptId,
 			body: this.#writer.buildEngineBody(grant.priority),
-			signal: this.#bound.signal,
+			signal: this.#cancellation.signal,
 		});
 		let events: Either<BackendFailure, AsyncIterable<EngineEvent[]>> = started;
 		let failedResumes = 0;
 		let wasCrossed = false;
 		for (;;) {
-			if (this.#bound.signal.aborted) {
+			if (this.#cancellation.signal.aborted) {
 				return {kind: 'aborted'};
 			}
 
 			if (events.isLeft()) {
-				const end = this.#judgeOpening(events.extract(), check, started.isLeft());
-				if (end !== undefined) {
-					return end;
+				const result = this.#evaluateOpenFailure(events.extract(), checker, started.isLeft());
+				if (result !== undefined) {
+					return result;
 				}
 			} else {
-				const before = check.lastSequence;
-				const end = await this.#consume(events.extract() as AsyncIterable<EngineEvent[]>, check);
-				if (end === 'finished') {
+				const before = checker.lastSequence;
+				const result = await this.#consume(events.extract() as AsyncIterable<EngineEvent[]>, checker);
+				if (result === 'finished') {
 					return {kind: 'finished'};
 				}
 
-				wasCrossed ||= end === 'crossed';
-				failedResumes = check.lastSequence > before ? 0 : failedResumes;
+				wasCrossed ||= result === 'crossed';
+				failedResumes = checker.lastSequence > before ? 0 : failedResumes;
 			}
 
-			if (failedResumes >= mostResumes || (failedResumes > 0 && !this.#parts.budget.takeRetry())) {
-				return {kind: 'lost', failure: this.#describeLoss(check, wasCrossed)};
+			if (failedResumes >= maxResumes || (failedResumes > 0 && !this.#parts.retryBudget.takeRetry())) {
+				return {kind: 'lost', failure: this.#createLossFailure(checker, wasCrossed)};
 			}
 
-			await waitFor(this.#parts.clock, firstResumeDelay * (2 ** failedResumes), this.#bound.signal);
+			await waitFor(this.#parts.clock, initialResumeDelay * (2 ** failedResumes), this.#cancellation.signal);
 			failedResumes++;
 			this.#parts.metrics.incrementCounter('resumes', {service: this.#request.service});
-			events = await this.#resume(grant, attemptId, check);
+			events = await this.#resume(grant, attemptId, checker);
 		}
 	}
 
-	async #resume(grant: Grant, attemptId: RequestId, check: ChunkCheck): Promise<Either<BackendFailure, AsyncIterable<EngineEvent[]>>> {
-		if (this.#bound.signal.aborted) {
+	async #resume(grant: Grant, attemptId: RequestId, checker: ChunkChecker): Promise<Either<BackendFailure, AsyncIterable<EngineEvent[]>>> {
+		if (this.#cancellation.signal.aborted) {
 			return Right([] as unknown as AsyncIterable<EngineEvent[]>);
 		}
 
-		return this.#parts.engines.resumeCompletion(grant.url, attemptId, check.lastSequence, this.#bound.signal);
+		return this.#parts.engines.resumeCompletion(grant.url, attemptId, checker.lastSequence, this.#cancellation.signal);
 	}
 
-	/** Judges a stream that did not open; undefined when a resume is worth trying. */
-	#judgeOpening(failure: BackendFailure, check: ChunkCheck, isFirst: boolean): AttemptEnd | undefined {
-		if (failure.kind === 'unknown_request' && (!isFirst || check.lastSequence > 0)) {
-			return {kind: 'lost', failure: this.#describeLoss(check, false)};
+	/** Evaluates a stream that failed to open; returns undefined if it should be resumed. */
+	#evaluateOpenFailure(failure: BackendFailure, checker: ChunkChecker, isFirst: boolean): AttemptResult | undefined {
+		if (failure.kind === 'unknown_request' && (!isFirst || checker.lastSequence > 0)) {
+			return {kind: 'lost', failure: this.#createLossFailure(checker, false)};
 		}
 
 		if (!isFirst) {
@@ -229,7 +229,7 @@
 		switch (failure.kind) {
 			case 'unreached':
 			case 'busy': {
-				return {kind: 'refused', failure: createFailure('backend_busy', `the backend server did not take the request: ${failure.message}`)};
+				return {kind: 'refused', failure: createFailure('backend_busy', `the backend server did not accept the request: ${failure.message}`)};
 			}
 
 			case 'rejected':
@@ -243,31 +243,31 @@
 		}
 	}
 
-	async #consume(batches: AsyncIterable<EngineEvent[]>, check: ChunkCheck): Promise<'finished' | 'broken' | 'crossed'> {
+	async #consume(batches: AsyncIterable<EngineEvent[]>, checker: ChunkChecker): Promise<'finished' | 'broken' | 'crossed'> {
 		for await (const batch of batches) {
 			for (const event of batch) {
-				const end = this.#take(event, check);
-				if (end !== undefined) {
-					return end;
+				const result = this.#handleEvent(event, checker);
+				if (result !== undefined) {
+					return result;
 				}
 			}
 
-			// Only a caller that is slower than its answer is waited for: a wait costs as much as a token.
-			if (this.#writer.isBehind) {
-				await this.#writer.waitForRoom();
+			// Awaiting costs as much as forwarding a token, so it is skipped unless the sink is full.
+			if (this.#writer.isBackpressured) {
+				await this.#writer.waitForDrain();
 			}
 		}
 
 		return 'broken';
 	}
 
-	/** Takes one event; returns how the stream ended, or undefined while it goes on. */
-	#take(event: EngineEvent, check: ChunkCheck): 'finished' | 'broken' | 'crossed' | undefined {
-		if (this.#bound.signal.aborted) {
+	/** Handles one event; returns how the stream ended, or undefined if it continues. */
+	#handleEvent(event: EngineEvent, checker: ChunkChecker): 'finished' | 'broken' | 'crossed' | undefined {
+		if (this.#cancellation.signal.aborted) {
 			return 'broken';
 		}
 
-		const checked = check.check(event);
+		const checked = checker.check(event);
 		switch (checked.kind) {
 			case 'chunk': {
 				this.#writer.writeChunk(event.data, checked.chunk);
@@ -284,29 +284,29 @@
 			}
 
 			case 'broken': {
-				this.#logBreak(checked.reason);
+				this.#logStreamBroken(checked.reason);
 				return 'broken';
 			}
 
 			case 'crossed': {
-				this.#logBreak('a chunk of another request');
+				this.#logStreamBroken('chunk belongs to another request');
 				this.#parts.metrics.incrementCounter('crossed_chunks', {service: this.#request.service});
 				return 'crossed';
 			}
 		}
 	}
 
-	#logBreak(reason: string): void {
-		this.#parts.logger.warn({event: 'stream_broken', request: this.#request.requestId, reason}, 'an answer stream was given up');
+	#logStreamBroken(reason: string): void {
+		this.#parts.logger.warn({event: 'stream_broken', request: this.#request.requestId, reason}, 'completion stream broken');
 	}
 
-	#describeLoss(check: ChunkCheck, wasCrossed: boolean): Failure {
+	#createLossFailure(checker: ChunkChecker, wasCrossed: boolean): Failure {
 		if (wasCrossed) {
-			return createFailure('answer_crossed', 'the backend server sent a chunk of another request and did not go on with this one', {ran: this.#writer.hasDelivered ? 'partly' : 'maybe'});
+			return createFailure('answer_crossed', 'the backend server sent a chunk of another request and did not continue this one', {ran: this.#writer.hasDelivered ? 'partly' : 'maybe'});
 		}
 
-		return check.lastSequence === 0
-			? createFailure('backend_unconfirmed', 'the backend server was lost before it answered; the request may have run')
-			: createFailure('backend_lost', 'the backend server was lost in the middle of the answer');
+		return checker.lastSequence === 0
+			? createFailure('backend_unconfirmed', 'the connection to the backend server was lost before it responded; the request may have run')
+			: createFailure('backend_lost', 'the connection to the backend server was lost during the response');
 	}
 }
--- a/src/node/entry/continuation.ts
+++ b/src/node/entry/continuation.ts
@@ -1,24 +1,24 @@
-/** Builds the request that goes on with an answer whose engine was lost. Pure. */
+/** Builds the request that continues a completion after its engine was lost. Pure. */
 import type {CompletionBody, Operation} from './caller-request.js';
 
 /**
- * Adds the text received to the prompt and lowers the output limit by the tokens received.
+ * Appends the received text to the prompt and lowers the output limit by the received tokens.
  *
- * Returns undefined where an answer cannot go on from its text alone: tools, a
- * prompt that is not one string, or an output limit already reached.
+ * Returns undefined if the text alone is not enough to continue: tools, a response format,
+ * a prompt that is not a single string, or an output limit already reached.
  */
-export function buildContinuation(operation: Operation, body: CompletionBody, text: string, tokens: number): CompletionBody | undefined {
-	if (text === '' || body.tools !== undefined || body.response_format !== undefined) {
+export function buildContinuation(operation: Operation, body: CompletionBody, receivedText: string, receivedTokens: number): CompletionBody | undefined {
+	if (receivedText === '' || body.tools !== undefined || body.response_format !== undefined) {
 		return undefined;
 	}
 
-	const limits = lowerLimits(body, tokens);
+	const limits = lowerLimits(body, receivedTokens);
 	if (limits === undefined) {
 		return undefined;
 	}
 
 	if (operation === 'text') {
-		return typeof body.prompt === 'string' ? {...body, ...limits, prompt: body.prompt + text} : undefined;
+		return typeof body.prompt === 'string' ? {...body, ...limits, prompt: body.prompt + receivedText} : undefined;
 	}
 
 	if (!Array.isArray(body.messages)) {
@@ -28,7 +28,7 @@
 	return {
 		...body,
 		...limits,
-		messages: [...body.messages as unknown[], {role: 'assistant', content: text}],
+		messages: [...body.messages as unknown[], {role: 'assistant', content: receivedText}],
 		add_generation_prompt: false,
 		continue_final_message: true,
 	};
--- a/src/node/entry/entry.ts
+++ b/src/node/entry/entry.ts
@@ -1,4 +1,4 @@
-/** The callers' side of a node: takes requests, bounds them, runs them, and keeps account of them. */
+/** The caller-facing side of a node: accepts requests, enforces limits and deadlines, runs them, and records their outcomes. */
 import {Buffer} from 'node:buffer';
 import {setMaxListeners} from 'node:events';
 import type {IncomingHttpHeaders} from 'node:http';
@@ -11,26 +11,26 @@
 import type {EntrySettings} from '../../settings/index.js';
 import type {FleetView} from '../config/index.js';
 import type {Members} from '../membership/members.js';
-import {listAddresses, type AddressAnswer} from './addresses.js';
-import {sendFailure, type AnswerSink} from './answer-sink.js';
+import {listAddresses, type AddressResponse} from './addresses.js';
+import {sendFailure, type ResponseSink} from './response-sink.js';
 import {formatRequestId, type CallerRequest, type RequestOutcome} from './caller-request.js';
 import {CompletionRun} from './completion-run.js';
 import {FrameSink} from './frame-sink.js';
 import type {GrantClient} from './grant-client.js';
-import {giveTurn} from './large-body.js';
+import {yieldToEventLoop} from './large-body.js';
 import {KeyedRouter} from './keyed-router.js';
-import {findLengthClass, longestShortPrompt, SlowdownTracker} from './length-class.js';
+import {findLengthClass, maxShortPromptTokens, SlowdownTracker} from './length-class.js';
 import {
-	authenticate, parseCompletion, parsePlainCall, type ParseParts, type RawRequest,
+	authenticate, parseCompletion, parsePlainCall, type ParseContext, type RawRequest,
 } from './parse-request.js';
 import {PlainRun} from './plain-run.js';
 import type {PrefixHasher} from './prompt-prefixes.js';
-import {RequestBound} from './request-bound.js';
+import {RequestCancellation} from './request-cancellation.js';
 import {RetryBudget} from './retry-budget.js';
 import {RunKeyStore} from './run-keys.js';
 import {TokenEstimator} from './token-estimator.js';
 
-/** What an entry needs. */
+/** Dependencies of an entry. */
 export type EntryParts = {
 	settings: EntrySettings;
 	clock: Clock;
@@ -51,83 +51,83 @@
 
 const bytesPerMebibyte = 1_048_576;
 
-/** Serves callers. */
+/** Serves callers' requests. */
 export class Entry {
-	readonly store: RunKeyStore;
+	readonly runKeys: RunKeyStore;
 	readonly #parts: EntryParts;
 	readonly #estimator = new TokenEstimator();
-	readonly #budget: RetryBudget;
-	readonly #slowdowns = new SlowdownTracker();
-	readonly #stopped = new AbortController();
-	readonly #keyed: KeyedRouter;
+	readonly #retryBudget: RetryBudget;
+	readonly #slowdownTracker = new SlowdownTracker();
+	readonly #stopController = new AbortController();
+	readonly #keyedRouter: KeyedRouter;
 	#requestCount = 0;
 	#inProgress = 0;
-	#heldBytes = 0;
+	#bufferedBytes = 0;
 
 	constructor(parts: EntryParts) {
 		this.#parts = parts;
-		// Every request in progress listens to this one signal.
-		setMaxListeners(0, this.#stopped.signal);
-		this.#budget = new RetryBudget(parts.settings.retryShare);
-		this.store = new RunKeyStore(parts.clock, parts.incarnation, parts.settings.runKeyLifetimeSeconds * 1000, parts.settings.keptOutcomesMebibytes * bytesPerMebibyte);
-		this.#keyed = new KeyedRouter({
-			store: this.store,
+		// Every request in progress adds a listener to this signal, which would trigger Node's leak warning.
+		setMaxListeners(0, this.#stopController.signal);
+		this.#retryBudget = new RetryBudget(parts.settings.retryShare);
+		this.runKeys = new RunKeyStore(parts.clock, parts.incarnation, parts.settings.runKeyLifetimeSeconds * 1000, parts.settings.keptOutcomesMebibytes * bytesPerMebibyte);
+		this.#keyedRouter = new KeyedRouter({
+			runKeys: this.runKeys,
 			members: parts.members,
 			clients: parts.clients,
-			self: parts.incarnation,
+			ownIncarnation: parts.incarnation,
 			runRequest: async (request, sink) => this.#run(request, sink),
 		});
 	}
 
-	/** Requests in progress. */
+	/** Number of requests in progress. */
 	get inProgress(): number {
 		return this.#inProgress;
 	}
 
-	/** Serves a completion; the sink has been ended when this resolves. */
-	async serveCompletion(raw: RawRequest, operation: 'chat' | 'text', sink: AnswerSink): Promise<void> {
+	/** Serves a completion; resolves after the sink has been ended. */
+	async serveCompletion(raw: RawRequest, operation: 'chat' | 'text', sink: ResponseSink): Promise<void> {
 		await this.#serve(raw, sink, async parts => parseCompletion(raw, operation, parts));
 	}
 
-	/** Serves a call on a plain service; the sink has been ended when this resolves. */
-	async servePlain(raw: RawRequest, sink: AnswerSink): Promise<void> {
+	/** Serves a call to a plain service; resolves after the sink has been ended. */
+	async servePlain(raw: RawRequest, sink: ResponseSink): Promise<void> {
 		await this.#serve(raw, sink, async parts => parsePlainCall(raw, parts));
 	}
 
-	/** Serves a keyed request that another node has passed on. */
+	/** Serves a request with a run key that another node has forwarded. */
 	async * serveForwarded(keyed: KeyedRequest, signal: AbortSignal): AsyncGenerator<AnswerFrame> {
 		const parsed = parseRunKey(keyed.runKey);
 		const parts = parsed.isRight() ? parsed.extract() : undefined;
-		if (parts === undefined || !this.store.answersFor(parts.incarnation)) {
+		if (parts === undefined || !this.runKeys.answersFor(parts.incarnation)) {
 			yield {kind: 'not_owner'};
 			return;
 		}
 
 		const sink = new FrameSink(signal);
-		void this.#serveForwardedInto(keyed, parts, sink);
+		void this.#writeForwarded(keyed, parts, sink);
 		yield * sink.read();
 	}
 
-	/** Answers which addresses callers may use. */
-	listAddresses(zone: AvailabilityZone): AddressAnswer {
+	/** Lists the entry addresses that callers may use, those in their availability zone first. */
+	listAddresses(zone: AvailabilityZone): AddressResponse {
 		return {
-			addresses: listAddresses(this.#parts.members.listReady(), zone, {second: this.store.readSecond(), random: this.#parts.random}),
+			addresses: listAddresses(this.#parts.members.listReady(), zone, {second: this.runKeys.readSecond(), random: this.#parts.random}),
 			lifetimeSeconds: this.#parts.settings.addressLifetimeSeconds,
 		};
 	}
 
-	/** Lists the models that the owner of a key may use. */
+	/** Lists the models that the owner of the request's API key may use. */
 	listModels(headers: IncomingHttpHeaders): Either<Failure, string[]> {
 		return authenticate(headers, this.#parts.view).map(organisation =>
 			organisation.services.filter(name => this.#parts.view.find('Service', name)?.type === 'engine'));
 	}
 
-	/** Ends every request in progress with an error. */
-	stopNow(): void {
-		this.#stopped.abort();
+	/** Aborts every request in progress with an error. */
+	abortRequests(): void {
+		this.#stopController.abort();
 	}
 
-	async #serve(raw: RawRequest, sink: AnswerSink, parse: (parts: ParseParts) => Promise<Either<Failure, CallerRequest>>): Promise<void> {
+	async #serve(raw: RawRequest, sink: ResponseSink, parse: (parts: ParseContext) => Promise<Either<Failure, CallerRequest>>): Promise<void> {
 		const refusal = this.#findRefusal(raw.body.length);
 		if (refusal !== undefined) {
 			this.#parts.metrics.incrementCounter('refusals', {kind: refusal.kind});
@@ -136,20 +136,20 @@
 		}
 
 		this.#inProgress++;
-		this.#heldBytes += raw.body.length;
+		this.#bufferedBytes += raw.body.length;
 		try {
-			await this.#serveParsed(await parse(this.#parseParts()), sink);
+			await this.#serveParsed(await parse(this.#createParseContext()), sink);
 		} catch (error) {
-			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'a request failed for a reason of the node\'s own');
-			sendFailure(sink, createFailure('internal', 'the node failed; whether the request ran is not known'), sink.hasStarted);
+			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'request failed with an internal error');
+			sendFailure(sink, createFailure('internal', 'internal error; it is not known whether the request ran'), sink.hasStarted);
 		} finally {
 			await sink.flush();
 			this.#inProgress--;
-			this.#heldBytes -= raw.body.length;
+			this.#bufferedBytes -= raw.body.length;
 		}
 	}
 
-	async #serveParsed(parsed: Either<Failure, CallerRequest>, sink: AnswerSink): Promise<void> {
+	async #serveParsed(parsed: Either<Failure, CallerRequest>, sink: ResponseSink): Promise<void> {
 		if (parsed.isLeft()) {
 			const failure = parsed.extract();
 			this.#parts.metrics.incrementCounter('refusals', {kind: failure.kind});
@@ -160,73 +160,73 @@
 		const request = parsed.extract() as CallerRequest;
 		const outcome = request.runKey === undefined
 			? await this.#run(request, sink)
-			: await this.#keyed.serve(request, sink);
+			: await this.#keyedRouter.serve(request, sink);
 		this.#record(request, outcome);
 	}
 
-	async #serveForwardedInto(keyed: KeyedRequest, parts: RunKeyParts, sink: AnswerSink): Promise<void> {
+	async #writeForwarded(keyed: KeyedRequest, parts: RunKeyParts, sink: ResponseSink): Promise<void> {
 		this.#inProgress++;
 		try {
 			const raw = {
 				method: keyed.method, url: keyed.url, headers: keyed.headers, body: Buffer.from(keyed.body, 'base64'),
 			};
 			const parsed = keyed.operation === 'plain'
-				? parsePlainCall(raw, this.#parseParts())
-				: await parseCompletion(raw, keyed.operation, this.#parseParts());
+				? parsePlainCall(raw, this.#createParseContext())
+				: await parseCompletion(raw, keyed.operation, this.#createParseContext());
 			if (parsed.isLeft()) {
 				sendFailure(sink, parsed.extract(), false);
 				return;
 			}
 
 			const request = parsed.extract() as CallerRequest;
-			this.#record(request, await this.#keyed.serveHere(request, parts, sink));
+			this.#record(request, await this.#keyedRouter.serveLocally(request, parts, sink));
 		} catch (error) {
-			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'a passed-on request failed');
-			sink.cut();
+			this.#parts.logger.error({event: 'request_crashed', reason: readErrorMessage(error)}, 'forwarded request failed with an internal error');
+			sink.abort();
 		} finally {
 			this.#inProgress--;
 		}
 	}
 
-	async #run(request: CallerRequest, sink: AnswerSink): Promise<RequestOutcome> {
-		this.#budget.addRequest();
-		const bound = new RequestBound(this.#parts.clock, request.deadline, sink.gone, this.#stopped.signal);
-		const parts = {...this.#parts, budget: this.#budget, estimator: this.#estimator};
+	async #run(request: CallerRequest, sink: ResponseSink): Promise<RequestOutcome> {
+		this.#retryBudget.recordRequest();
+		const cancellation = new RequestCancellation(this.#parts.clock, request.deadline, sink.disconnected, this.#stopController.signal);
+		const parts = {...this.#parts, retryBudget: this.#retryBudget, estimator: this.#estimator};
 		try {
 			await this.#hashPrefixes(request);
 			const run = request.operation === 'plain'
-				? new PlainRun(parts, request, sink, bound)
-				: new CompletionRun(parts, request, sink, bound);
+				? new PlainRun(parts, request, sink, cancellation)
+				: new CompletionRun(parts, request, sink, cancellation);
 			return await run.run();
 		} finally {
-			bound.close();
+			cancellation.close();
 		}
 	}
 
 	async #hashPrefixes(request: CallerRequest): Promise<void> {
 		if (request.completion !== undefined) {
 			request.prefixes = this.#parts.hasher.hashPrompt(request.operation, request.completion, this.#estimator.readRatio(request.service));
-			await giveTurn(request.body.length);
+			await yieldToEventLoop(request.body.length);
 		}
 	}
 
 	#findRefusal(bodyLength: number): Failure | undefined {
 		if (this.#parts.view.revision === 0) {
-			return createFailure('node_not_ready', 'this node has not read its configuration yet; use another address');
+			return createFailure('node_not_ready', 'this node has not loaded its configuration yet; use another address');
 		}
 
 		if (this.#inProgress >= this.#parts.settings.requestLimit) {
-			return createFailure('node_busy', 'this node serves as many requests as it may; use another address');
+			return createFailure('node_busy', 'this node has reached its request limit; use another address');
 		}
 
-		if (this.#heldBytes + bodyLength > this.#parts.settings.heldBodiesMebibytes * bytesPerMebibyte) {
-			return createFailure('node_busy', 'this node holds as many request bodies as it may; use another address');
+		if (this.#bufferedBytes + bodyLength > this.#parts.settings.heldBodiesMebibytes * bytesPerMebibyte) {
+			return createFailure('node_busy', 'this node has reached its limit for buffered request bodies; use another address');
 		}
 
 		return undefined;
 	}
 
-	#parseParts(): ParseParts {
+	#createParseContext(): ParseContext {
 		return {
 			clock: this.#parts.clock,
 			view: this.#parts.view,
@@ -238,10 +238,10 @@
 	#record(request: CallerRequest, outcome: RequestOutcome): void {
 		const {metrics, logger, clock} = this.#parts;
 		const lengthClass = findLengthClass(request.promptTokens);
-		if (outcome.firstToken !== undefined) {
-			metrics.recordTiming('first_token', outcome.firstToken, {service: request.service, length: lengthClass});
-			if (request.operation !== 'plain' && request.promptTokens <= longestShortPrompt) {
-				metrics.recordGauge('short_slowdown', this.#slowdowns.measure(request.service, request.promptTokens, outcome.firstToken), {service: request.service});
+		if (outcome.timeToFirstToken !== undefined) {
+			metrics.recordTiming('first_token', outcome.timeToFirstToken, {service: request.service, length: lengthClass});
+			if (request.operation !== 'plain' && request.promptTokens <= maxShortPromptTokens) {
+				metrics.recordGauge('short_slowdown', this.#slowdownTracker.measure(request.service, request.promptTokens, outcome.timeToFirstToken), {service: request.service});
 			}
 		}
 
@@ -256,8 +256,8 @@
 			service: request.service,
 			promptTokens: request.promptTokens,
 			outcome: outcome.failure?.kind ?? 'whole',
-			firstToken: outcome.firstToken === undefined ? undefined : Math.round(outcome.firstToken),
-			took: Math.round(clock.readMonotonic() - request.arrived),
+			firstToken: outcome.timeToFirstToken === undefined ? undefined : Math.round(outcome.timeToFirstToken),
+			took: Math.round(clock.readMonotonic() - request.arrivedAt),
 		}, 'request ended');
 	}
 }
--- a/src/node/entry/recording.ts
+++ b/src/node/entry/recording.ts
@@ -1,52 +1,52 @@
-/** Keeps an answer while it is made and after, for every caller that presents the same run key. */
+/** Stores a response for every caller that sends the same run key, during the run and after it. */
 import {Buffer} from 'node:buffer';
 import type {AnswerHead, StoredAnswer} from '../../rpc/index.js';
-import {AnswerSink} from './answer-sink.js';
+import {ResponseSink} from './response-sink.js';
 
-/** Records an answer and plays it, also while it is still being made. */
-export class Recording extends AnswerSink {
-	/** Rebuilds a recording that another node passed on. */
-	static fromStored(stored: StoredAnswer): Recording {
+/** Records a response and replays it, also while it is still being written. */
+export class Recording extends ResponseSink {
+	/** Restores a recording exported by another node. */
+	static restore(stored: StoredAnswer): Recording {
 		const recording = new Recording();
 		recording.#head = stored.head;
 		recording.#state = stored.wasCut ? 'cut' : 'ended';
-		recording.#isDropped = stored.body === undefined;
+		recording.#isBodyDropped = stored.body === undefined;
 		const body = Buffer.from(stored.body ?? '', 'base64');
-		recording.#pieces.push(body);
+		recording.#chunks.push(body);
 		recording.#size = body.length;
 		return recording;
 	}
 
-	/** A recorded run goes on without its caller, who may come back for the outcome. */
-	override readonly gone = new AbortController().signal;
-	readonly #pieces: Uint8Array[] = [];
-	readonly #waiting = new Set<() => void>();
+	/** Never aborted: a recorded run continues without its caller, who may come back for the outcome. */
+	override readonly disconnected = new AbortController().signal;
+	readonly #chunks: Uint8Array[] = [];
+	readonly #waitingReaders = new Set<() => void>();
 	#head: AnswerHead | undefined;
 	#state: 'open' | 'ended' | 'cut' = 'open';
 	#size = 0;
-	#isDropped = false;
-	#followers = 0;
+	#isBodyDropped = false;
+	#readerCount = 0;
 
 	override get hasStarted(): boolean {
 		return this.#head !== undefined;
 	}
 
-	/** Whether the answer is complete. */
+	/** Whether the response has been ended or aborted. */
 	get isDone(): boolean {
 		return this.#state !== 'open';
 	}
 
-	/** Whether only the fact of the answer is kept. */
-	get isDropped(): boolean {
-		return this.#isDropped;
+	/** Whether the body was dropped, so that only the fact that the request ran is kept. */
+	get isBodyDropped(): boolean {
+		return this.#isBodyDropped;
 	}
 
-	/** Whether someone is reading it. */
-	get isFollowed(): boolean {
-		return this.#followers > 0;
+	/** Whether any caller is reading the recording. */
+	get hasReaders(): boolean {
+		return this.#readerCount > 0;
 	}
 
-	/** Bytes kept. */
+	/** Size of the stored body, in bytes. */
 	get size(): number {
 		return this.#size;
 	}
@@ -56,14 +56,14 @@
 		this.#wake();
 	}
 
-	/** A recording takes all: it is kept whole, and bounded by `trim` of the store. */
+	/** Never full; `RunKeyStore.trim` limits the memory of finished recordings. */
 	override get isFull(): boolean {
 		return false;
 	}
 
-	override write(piece: string | Uint8Array): void {
-		const bytes = typeof piece === 'string' ? Buffer.from(piece) : piece;
-		this.#pieces.push(bytes);
+	override write(chunk: string | Uint8Array): void {
+		const bytes = typeof chunk === 'string' ? Buffer.from(chunk) : chunk;
+		this.#chunks.push(bytes);
 		this.#size += bytes.length;
 		this.#wake();
 	}
@@ -73,84 +73,84 @@
 		this.#wake();
 	}
 
-	override cut(): void {
+	override abort(): void {
 		this.#state = 'cut';
 		this.#wake();
 	}
 
-	override async waitForRoom(): Promise<void> {
-		// There is always room.
+	override async waitForDrain(): Promise<void> {
+		// A recording never applies backpressure.
 	}
 
 	override async flush(): Promise<void> {
-		// What is recorded is at its end already.
+		// Recorded data stays in this process.
 	}
 
-	/** Forgets the body of a finished answer; the fact that it ran stays. */
-	drop(): void {
-		this.#pieces.length = 0;
+	/** Drops the body of a finished response; the fact that the request ran is kept. */
+	dropBody(): void {
+		this.#chunks.length = 0;
 		this.#size = 0;
-		this.#isDropped = true;
+		this.#isBodyDropped = true;
 	}
 
-	/** Takes the recording in a form that can be passed on; call when done. */
-	store(): StoredAnswer {
+	/** Exports the recording for another node. Call only when `isDone`. */
+	exportAnswer(): StoredAnswer {
 		return {
 			head: this.#head ?? {status: 500, headers: {}},
-			body: this.#isDropped ? undefined : Buffer.concat(this.#pieces).toString('base64'),
+			body: this.#isBodyDropped ? undefined : Buffer.concat(this.#chunks).toString('base64'),
 			wasCut: this.#state === 'cut',
 		};
 	}
 
-	/** Plays the answer into a sink, waiting for what is still to come. Stops when the sink's reader is gone. */
-	async playInto(sink: AnswerSink): Promise<void> {
-		this.#followers++;
+	/** Replays the response into a sink, following a run in progress. Stops when the sink's reader disconnects. */
+	async replayInto(sink: ResponseSink): Promise<void> {
+		this.#readerCount++;
 		try {
 			let next = 0;
-			while (!sink.gone.aborted) {
+			while (!sink.disconnected.aborted) {
 				if (!sink.hasStarted && this.#head !== undefined) {
 					sink.start(this.#head);
 				}
 
-				if (next < this.#pieces.length) {
-					sink.write(this.#pieces[next]);
+				if (next < this.#chunks.length) {
+					sink.write(this.#chunks[next]);
 					next++;
-					await sink.waitForRoom();
+					await sink.waitForDrain();
 				} else if (this.isDone) {
 					this.#finish(sink);
 					return;
 				} else {
-					await this.#waitForMore(sink.gone);
+					await this.#waitForMore(sink.disconnected);
 				}
 			}
 		} finally {
-			this.#followers--;
+			this.#readerCount--;
 		}
 	}
 
-	#finish(sink: AnswerSink): void {
+	#finish(sink: ResponseSink): void {
 		if (this.#state === 'cut') {
-			sink.cut();
+			sink.abort();
 		} else {
 			sink.end();
 		}
 	}
 
-	async #waitForMore(gone: AbortSignal): Promise<void> {
+	async #waitForMore(disconnected: AbortSignal): Promise<void> {
 		await new Promise<void>(resolve => {
 			const finish = () => {
-				this.#waiting.delete(finish);
-				gone.removeEventListener('abort', finish);
+				this.#waitingReaders.delete(finish);
+				disconnected.removeEventListener('abort', finish);
 				resolve();
 			};
 
-			this.#waiting.add(finish);
-			gone.addEventListener('abort', finish, {once: true});
+			this.#waitingReaders.add(finish);
+			disconnected.addEventListener('abort', finish, {once: true});
 		});
 	}
 
 	#wake(): void {
-		for (const resume of this.#waiting) {
+		for (const resume of this.#waitingReaders) {
 			resume();
 		}
 	}
--- a/src/node/entry/answer-writer.ts
+++ b/src/node/entry/response-writer.ts
@@ -1,8 +1,8 @@
-/** Writes a completion's chunks to the caller: as they come, or gathered into one whole answer. */
+/** Writes a completion to the caller, as a stream of chunks or as one complete response. */
 import {Buffer} from 'node:buffer';
 import type {Clock, Metrics} from '../../common/index.js';
-import {AnswerMerge, type JsonObject} from './answer-merge.js';
-import type {AnswerSink} from './answer-sink.js';
+import {ChunkMerger, type JsonObject} from './chunk-merger.js';
+import type {ResponseSink} from './response-sink.js';
 import {buildContinuation} from './continuation.js';
 import type {CallerRequest, CompletionBody} from './caller-request.js';
 import type {TokenEstimator} from './token-estimator.js';
@@ -11,28 +11,28 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Writes one request's answer, over one or more attempts. */
-export class AnswerWriter {
+/** Writes the response to one request across its attempts. */
+export class ResponseWriter {
 	/** Whether the caller asked for a stream. */
 	readonly isStream: boolean;
-	/** Number of answers asked for at once. */
+	/** Number of choices requested (`n`). */
 	readonly choiceCount: number;
 	readonly #request: CallerRequest;
 	readonly #completion: CompletionBody;
-	readonly #sink: AnswerSink;
+	readonly #sink: ResponseSink;
 	readonly #parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator};
-	readonly #wantsUsage: boolean;
-	#merge: AnswerMerge;
-	/** Id of the first chunk; a continued answer keeps it. */
-	#answerId: unknown;
+	readonly #isUsageRequested: boolean;
+	#merger: ChunkMerger;
+	/** Id of the first chunk, kept when the completion continues on another engine. */
+	#completionId: unknown;
 	#deliveredText = '';
 	#deliveredChunks = 0;
-	#firstToken: number | undefined;
+	#timeToFirstToken: number | undefined;
 	#isContinued = false;
 
-	constructor(request: CallerRequest, sink: AnswerSink, parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator}) {
+	constructor(request: CallerRequest, sink: ResponseSink, parts: {clock: Clock; metrics: Metrics; estimator: TokenEstimator}) {
 		if (request.completion === undefined) {
-			throw new TypeError('a completion is needed');
+			throw new TypeError('the request is not a completion');
 		}
 
 		this.#request = request;
@@ -41,44 +41,44 @@
 		this.#parts = parts;
 		this.isStream = request.completion.stream === true;
 		this.choiceCount = Number(request.completion.n ?? 1);
-		this.#wantsUsage = (request.completion.stream_options as {include_usage?: boolean} | undefined)?.include_usage === true;
-		this.#merge = this.#createMerge();
+		this.#isUsageRequested = (request.completion.stream_options as {include_usage?: boolean} | undefined)?.include_usage === true;
+		this.#merger = this.#createMerger();
 	}
 
-	/** Whether any part of the answer has reached the caller. */
+	/** Whether any chunk has been sent to the caller. */
 	get hasDelivered(): boolean {
 		return this.#deliveredChunks > 0;
 	}
 
-	/** Milliseconds from arrival to the first token. */
-	get firstToken(): number | undefined {
-		return this.#firstToken;
+	/** Milliseconds from arrival to the first token; undefined before it. */
+	get timeToFirstToken(): number | undefined {
+		return this.#timeToFirstToken;
 	}
 
-	/** Whether the answer can go on elsewhere from what the caller has. */
+	/** Whether another engine can continue the completion from the text already delivered. */
 	get canContinue(): boolean {
 		return this.#request.serviceSpec.continuable
 			&& this.choiceCount === 1
 			&& buildContinuation(this.#request.operation, this.#completion, this.#deliveredText, this.#deliveredChunks) !== undefined;
 	}
 
-	/** Whether the caller takes the answer more slowly than it comes. */
-	get isBehind(): boolean {
+	/** Whether the caller reads more slowly than the engine generates. */
+	get isBackpressured(): boolean {
 		return this.#sink.isFull;
 	}
 
-	/** Resolves when the caller has caught up or is gone. */
-	async waitForRoom(): Promise<void> {
-		await this.#sink.waitForRoom();
+	/** Resolves when the caller has caught up or has disconnected. */
+	async waitForDrain(): Promise<void> {
+		await this.#sink.waitForDrain();
 	}
 
-	/** Prepares for an attempt on another engine. */
+	/** Prepares for the next attempt; merged chunks of an earlier attempt are discarded. */
 	startAttempt(): void {
 		this.#isContinued = this.hasDelivered;
-		this.#merge = this.#createMerge();
+		this.#merger = this.#createMerger();
 	}
 
-	/** Makes the JSON text for the engine: always a stream, with usage, at a priority of which the least goes first. */
+	/** Builds the JSON body for the engine: always streaming, with usage. The engine runs lower priorities first. */
 	buildEngineBody(priority: number): string {
 		const body = this.#isContinued
 			? buildContinuation(this.#request.operation, this.#completion, this.#deliveredText, this.#deliveredChunks) ?? this.#completion
@@ -89,17 +89,17 @@
 		});
 	}
 
-	/** Takes the next checked chunk. */
+	/** Writes or merges the next verified chunk. */
 	writeChunk(data: string, chunk: JsonObject): void {
-		this.#firstToken ??= this.#parts.clock.readMonotonic() - this.#request.arrived;
-		this.#learnUsage(chunk.usage as Usage | undefined);
+		this.#timeToFirstToken ??= this.#parts.clock.readMonotonic() - this.#request.arrivedAt;
+		this.#recordUsage(chunk.usage as Usage | undefined);
 		if (!this.isStream) {
-			this.#merge.addChunk(chunk);
+			this.#merger.addChunk(chunk);
 			return;
 		}
 
 		const isUsageOnly = Array.isArray(chunk.choices) && chunk.choices.length === 0;
-		if (isUsageOnly && !this.#wantsUsage) {
+		if (isUsageOnly && !this.#isUsageRequested) {
 			return;
 		}
 
@@ -110,13 +110,13 @@
 			});
 		}
 
-		this.#answerId ??= chunk.id;
-		this.#remember(chunk);
-		const text = this.#isContinued ? JSON.stringify({...chunk, id: this.#answerId}) : data;
+		this.#completionId ??= chunk.id;
+		this.#recordDelivered(chunk);
+		const text = this.#isContinued ? JSON.stringify({...chunk, id: this.#completionId}) : data;
 		this.#sink.write(`data: ${text}\n\n`);
 	}
 
-	/** Ends the answer. */
+	/** Ends the response. */
 	finish(): void {
 		if (this.isStream) {
 			this.#sink.write('data: [DONE]\n\n');
@@ -124,7 +124,7 @@
 			return;
 		}
 
-		const body = JSON.stringify(this.#merge.build());
+		const body = JSON.stringify(this.#merger.build());
 		this.#sink.start({
 			status: 200,
 			headers: {
@@ -135,7 +135,7 @@
 		this.#sink.end();
 	}
 
-	#remember(chunk: JsonObject): void {
+	#recordDelivered(chunk: JsonObject): void {
 		this.#deliveredChunks++;
 		if (!this.#request.serviceSpec.continuable) {
 			return;
@@ -145,14 +145,14 @@
 		this.#deliveredText += choice?.delta?.content ?? choice?.text ?? '';
 	}
 
-	#learnUsage(usage: Usage | undefined): void {
-		// A continued prompt is longer than the body by what was already answered.
+	#recordUsage(usage: Usage | undefined): void {
+		// A continued prompt also contains the text already generated, which the body does not.
 		if (usage?.prompt_tokens !== undefined && !this.#isContinued) {
-			this.#parts.estimator.learn(this.#request.service, this.#request.body.length, usage.prompt_tokens);
+			this.#parts.estimator.update(this.#request.service, this.#request.body.length, usage.prompt_tokens);
 		}
 	}
 
-	#createMerge(): AnswerMerge {
-		return new AnswerMerge(this.#request.operation, Math.floor(this.#parts.clock.now().getTime() / millisecondsPerSecond));
+	#createMerger(): ChunkMerger {
+		return new ChunkMerger(this.#request.operation, Math.floor(this.#parts.clock.now().getTime() / millisecondsPerSecond));
 	}
 }
--- a/src/node/entry/retry-budget.ts
+++ b/src/node/entry/retry-budget.ts
@@ -1,23 +1,23 @@
-/** Limits retries to a share of recent requests, so that retries cannot become the load. Pure. */
+/** Limits retries to a fraction of recent requests, so that retries cannot overload the backend servers. Pure. */
 
-/** Retries that may be saved up while nothing fails. */
-const mostSaved = 20;
+/** Maximum number of retries that accumulate while nothing fails. */
+const maxBalance = 20;
 
-/** A budget of retries: each request adds a share, each retry takes one. */
+/** A retry budget: each request adds `retryRatio` retries, each retry takes one. */
 export class RetryBudget {
-	readonly #share: number;
-	#balance = mostSaved / 2;
+	readonly #retryRatio: number;
+	#balance = maxBalance / 2;
 
-	constructor(share: number) {
-		this.#share = share;
+	constructor(retryRatio: number) {
+		this.#retryRatio = retryRatio;
 	}
 
-	/** Notes a request. */
-	addRequest(): void {
-		this.#balance = Math.min(mostSaved, this.#balance + this.#share);
+	/** Records a request, which adds to the budget. */
+	recordRequest(): void {
+		this.#balance = Math.min(maxBalance, this.#balance + this.#retryRatio);
 	}
 
-	/** Takes one retry; false when the budget is spent. */
+	/** Takes one retry; returns false if the budget is exhausted. */
 	takeRetry(): boolean {
 		if (this.#balance < 1) {
 			return false;
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -153,7 +153,7 @@
 
 	/** Stops immediately: responses in progress end with an error. */
 	async stopNow(): Promise<void> {
-		this.#entry.stopNow();
+		this.#entry.abortRequests();
 		await waitFor(this.#parts.clock, closeDelay);
 		await this.#close();
 	}
@@ -163,7 +163,7 @@
 		this.#phase = 'stopped';
 		this.#supervisorStop.abort();
 		await Promise.all([this.#clients.close(), this.#backendAgent.destroy()]);
-		this.#entry.stopNow();
+		this.#entry.abortRequests();
 		await this.#close();
 	}
 
@@ -208,7 +208,7 @@
 	}
 
 	override answersFor(incarnation: Incarnation): boolean {
-		return this.#entry.store.answersFor(incarnation);
+		return this.#entry.runKeys.answersFor(incarnation);
 	}
 
 	override runKeyed(request: KeyedRequest, signal: AbortSignal): AsyncIterable<AnswerFrame> {
@@ -216,7 +216,7 @@
 	}
 
 	override inherit(transfer: OutcomeTransfer): void {
-		this.#entry.store.inherit(transfer.incarnations, transfer.outcomes);
+		this.#entry.runKeys.inherit(transfer.incarnations, transfer.outcomes);
 	}
 
 	override noteLeaving(incarnation: Incarnation): void {
@@ -307,7 +307,7 @@
 	}
 
 	async #transferOutcomes(): Promise<void> {
-		const {store} = this.#entry;
+		const {runKeys: store} = this.#entry;
 		store.close();
 		const transfer = {incarnations: store.listIncarnations(), outcomes: store.exportOutcomes()};
 		const successors = this.members.listReady().filter(member => member.incarnation !== this.#incarnation);
--- a/test/serve-callers.test.ts
+++ b/test/serve-callers.test.ts
@@ -3,7 +3,7 @@
 } from '@jest/globals';
 import {standinFleet} from '../src/standin/index.js';
 import {
-	call, chat, chatBody, joinStream, readError, sendRaw, type ErrorAnswerBody,
+	call, sendChat, buildChatBody, joinStream, readError, sendRaw, type ErrorAnswerBody,
 } from './helpers/calls.js';
 import {TestFleet} from './helpers/fleet.js';
 
@@ -19,15 +19,15 @@
 	await fleet.stop();
 });
 
-test('streams an answer with its finish marker', async () => {
-	const answer = await fleet.settle(chat(url, {stream: true}));
+test('streams a response with its finish marker', async () => {
+	const answer = await fleet.settle(sendChat(url, {stream: true}));
 	expect(answer.status).toBe(200);
 	expect(joinStream(answer.text)).toBe('t1 t2 t3 t4 t5 ');
 	expect(answer.text.endsWith('data: [DONE]\n\n')).toBe(true);
 });
 
-test('gives a whole answer in the shape of OpenAI', async () => {
-	const answer = await fleet.settle(chat(url));
+test('returns a complete response in OpenAI format', async () => {
+	const answer = await fleet.settle(sendChat(url));
 	expect(answer.headers['x-cresshook-ran']).toBe('yes');
 	expect(JSON.parse(answer.text)).toMatchObject({
 		object: 'chat.completion',
@@ -36,23 +36,23 @@
 	});
 });
 
-test('gives a whole text completion', async () => {
+test('returns a complete text completion', async () => {
 	const answer = await fleet.settle(call(`${url}/v1/completions`, {body: {model: standinFleet.service, prompt: 'Wind at Siracusa', max_tokens: 2}}));
 	expect(JSON.parse(answer.text)).toMatchObject({object: 'text_completion', choices: [{text: 't1 t2 '}]});
 });
 
-test('either node serves, wherever the dispatcher is', async () => {
-	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => chat(node.callerUrl, {stream: true}))));
+test('every node serves, regardless of where the dispatcher runs', async () => {
+	const answers = await fleet.settle(Promise.all(fleet.nodes.map(async node => sendChat(node.callerUrl, {stream: true}))));
 	expect(answers.map(answer => joinStream(answer.text))).toEqual(['t1 t2 t3 t4 t5 ', 't1 t2 t3 t4 t5 ']);
 });
 
-test('gives several choices', async () => {
-	const answer = await fleet.settle(chat(url, {n: 2, max_tokens: 2}));
+test('returns several choices', async () => {
+	const answer = await fleet.settle(sendChat(url, {n: 2, max_tokens: 2}));
 	const {choices} = JSON.parse(answer.text) as {choices: Array<{message: {content: string}}>};
 	expect(choices.map(choice => choice.message.content)).toEqual(['t1 t2 ', 't1 t2 ']);
 });
 
-test('passes calls on plain services on', async () => {
+test('proxies calls to plain services', async () => {
 	const answer = await fleet.settle(call(`${url}/tessere/37?layer=rain`, {body: 'north'}));
 	expect(JSON.parse(answer.text)).toEqual({
 		method: 'POST', path: '/tessere/37?layer=rain', organisation: standinFleet.organisation, body: 'north', run: 1,
@@ -64,7 +64,7 @@
 	expect((JSON.parse(answer.text) as {data: Array<{id: string}>}).data.map(model => model.id)).toEqual([standinFleet.service]);
 });
 
-test('tells addresses of the asked-for zone first', async () => {
+test('lists addresses of the requested availability zone first', async () => {
 	const answer = await fleet.settle(call(`${url}/v1/addresses?availabilityZone=catania-b`, {method: 'GET'}));
 	const {addresses, lifetimeSeconds} = JSON.parse(answer.text) as {addresses: Array<{availabilityZone: string; url: string}>; lifetimeSeconds: number};
 	expect(addresses.map(entry => entry.availabilityZone)).toEqual(['catania-b', 'catania-a']);
@@ -73,18 +73,18 @@
 });
 
 test.each([
-	['unknown_key', 401, {key: 'sk-wrong', body: chatBody()}],
-	['service_forbidden', 403, {key: standinFleet.otherKey, body: chatBody()}],
-	['unknown_model', 404, {body: chatBody({model: 'mosto-llm'})}],
+	['unknown_key', 401, {key: 'sk-wrong', body: buildChatBody()}],
+	['service_forbidden', 403, {key: standinFleet.otherKey, body: buildChatBody()}],
+	['unknown_model', 404, {body: buildChatBody({model: 'mosto-llm'})}],
 	['invalid_json', 400, {body: '{"model": '}],
-	['invalid_request', 400, {body: chatBody({messages: 'no list'})}],
-	['invalid_request', 400, {body: chatBody({n: 0})}],
-	['invalid_request', 400, {body: chatBody(), headers: {'x-not-repeatable': 'maybe'}}],
-	['invalid_time_bound', 400, {body: chatBody(), headers: {'x-time-bound-ms': '0'}}],
-	['invalid_time_bound', 400, {body: chatBody(), headers: {'x-time-bound-ms': '600001'}}],
-	['invalid_time_bound', 400, {body: chatBody(), headers: {'x-time-bound-ms': 'soon'}}],
-	['invalid_run_key', 400, {body: chatBody(), headers: {'x-run-key': 'mine'}}],
-	['prompt_too_large', 400, {body: chatBody({max_tokens: 300_000})}],
+	['invalid_request', 400, {body: buildChatBody({messages: 'no list'})}],
+	['invalid_request', 400, {body: buildChatBody({n: 0})}],
+	['invalid_request', 400, {body: buildChatBody(), headers: {'x-not-repeatable': 'maybe'}}],
+	['invalid_time_bound', 400, {body: buildChatBody(), headers: {'x-time-bound-ms': '0'}}],
+	['invalid_time_bound', 400, {body: buildChatBody(), headers: {'x-time-bound-ms': '600001'}}],
+	['invalid_time_bound', 400, {body: buildChatBody(), headers: {'x-time-bound-ms': 'soon'}}],
+	['invalid_run_key', 400, {body: buildChatBody(), headers: {'x-run-key': 'mine'}}],
+	['prompt_too_large', 400, {body: buildChatBody({max_tokens: 300_000})}],
 	['body_too_large', 413, {body: `"${'x'.repeat(17 * 1_048_576)}"`}],
 ] as const)('refuses with %s (%i) and sends nothing to an engine', async (code, status, options) => {
 	const takenBefore = fleet.engines.map(engine => engine.taken);
@@ -100,20 +100,20 @@
 	expect(readError(answer).code).toBe('unknown_path');
 });
 
-test('messages that are no objects are refused before anything runs', async () => {
-	const answers = await Promise.all([null, 'text', 5].map(async message => fleet.settle(call(`${url}/v1/chat/completions`, {body: chatBody({messages: [message]})}))));
+test('messages that are not objects are refused before anything runs', async () => {
+	const answers = await Promise.all([null, 'text', 5].map(async message => fleet.settle(call(`${url}/v1/chat/completions`, {body: buildChatBody({messages: [message]})}))));
 	expect(answers.map(answer => [answer.status, readError(answer).code, readError(answer).ran])).toEqual([
 		[400, 'invalid_request', 'no'], [400, 'invalid_request', 'no'], [400, 'invalid_request', 'no'],
 	]);
 });
 
-test('a whole answer says when it was made, also when the engine does not', async () => {
-	const answer = await fleet.settle(chat(url));
+test('a complete response has a creation time even if the engine sends none', async () => {
+	const answer = await fleet.settle(sendChat(url));
 	const {created} = JSON.parse(answer.text) as {created: number};
 	expect(created).toBe(Math.floor(fleet.clock.now().getTime() / 1000));
 });
 
-test('heads that cannot be read are refused in the shape of every other error', async () => {
+test('malformed request heads are refused in the common error format', async () => {
 	const {hostname, port} = new URL(url);
 	const head = 'POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n';
 	const answers = await Promise.all([
