--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -48,7 +48,7 @@
 	report('members after a change, ms', views.map(({size, view}): Point => {
 		const members = new Members(view);
 		return [size, timeEach(50, index => {
-			members.noteReachable('x' as Incarnation, index % 2 === 0);
+			members.recordReachability('x' as Incarnation, index % 2 === 0);
 			members.listReady();
 		})];
 	}));
--- a/src/backends/canceller.ts
+++ b/src/backends/canceller.ts
@@ -9,9 +9,9 @@
 } from '../common/index.js';
 import type {EngineClient} from './engine-client.js';
 
-const firstDelay = 100;
-const longestDelay = 2000;
-const mostAttempts = 8;
+const initialDelay = 100;
+const maxDelay = 2000;
+const maxAttempts = 8;
 
 /** Cancels requests on engines. */
 export class Canceller {
@@ -27,8 +27,8 @@
 
 	/** Resolves with true once the engine has confirmed, with false when it could not be reached for long. */
 	async cancel(url: string, requestId: RequestId): Promise<boolean> {
-		let delay = firstDelay;
-		for (let attempt = 1; attempt <= mostAttempts; attempt++) {
+		let delay = initialDelay;
+		for (let attempt = 1; attempt <= maxAttempts; attempt++) {
 			const result = await this.#engines.cancel(url, requestId);
 			// An engine that does not know the request does not run it either.
 			if (result.caseOf({Left: failure => failure.kind === 'unknown_request', Right: () => true})) {
@@ -36,7 +36,7 @@
 			}
 
 			await waitFor(this.#clock, delay);
-			delay = Math.min(longestDelay, delay * 2);
+			delay = Math.min(maxDelay, delay * 2);
 		}
 
 		this.#logger.warn({event: 'cancel_unconfirmed', request: requestId, backendServer: url}, 'an engine did not confirm a cancel');
--- a/src/backends/engine-client.ts
+++ b/src/backends/engine-client.ts
@@ -7,7 +7,7 @@
 import * as z from 'zod';
 import {type Clock, createTimeout, type RequestId} from '../common/index.js';
 import {EventStreamHandler, type EngineEvent} from './event-stream.js';
-import {classifyThrown, type BackendFailure} from './failure.js';
+import {classifyError, type BackendFailure} from './failure.js';
 
 /** The data of the event that ends a whole answer. */
 export const finishMarker = '[DONE]';
@@ -79,7 +79,7 @@
 			const text = await response.body.text();
 			return response.statusCode < 300 ? Right(text) : Left(classifyStatus(response.statusCode, text));
 		} catch (error) {
-			return Left(classifyThrown(error));
+			return Left(classifyError(error));
 		} finally {
 			timeout.cancel();
 		}
@@ -93,7 +93,7 @@
 			const opening = await handler.opened;
 			return opening.status === 200 ? Right(handler) : Left(classifyStatus(opening.status, opening.text));
 		} catch (error) {
-			return Left(classifyThrown(error));
+			return Left(classifyError(error));
 		}
 	}
 }
--- a/src/backends/event-stream.ts
+++ b/src/backends/event-stream.ts
@@ -24,7 +24,7 @@
 };
 
 /** Events held for a reader that is slower than the engine before the connection is paused. */
-const mostHeld = 64;
+const maxBufferedEvents = 64;
 
 /** Handles one request whose answer is a stream of events. */
 export class EventStreamHandler implements Dispatcher.DispatchHandler, AsyncIterable<EngineEvent[]> {
@@ -41,7 +41,7 @@
 	#text = '';
 	#events: EngineEvent[] = [];
 	#hasEnded = false;
-	#wake: (() => void) | undefined;
+	#resumeReader: (() => void) | undefined;
 
 	constructor(signal: AbortSignal) {
 		this.#signal = signal;
@@ -83,11 +83,11 @@
 		}
 
 		this.#parser.feed(text);
-		if (this.#events.length > mostHeld) {
+		if (this.#events.length > maxBufferedEvents) {
 			controller.pause();
 		}
 
-		this.#wake?.();
+		this.#resumeReader?.();
 	}
 
 	onResponseEnd(): void {
@@ -118,7 +118,7 @@
 
 				this.#controller?.resume();
 				await new Promise<void>(resolve => {
-					this.#wake = resolve;
+					this.#resumeReader = resolve;
 				});
 			}
 		} finally {
@@ -131,6 +131,6 @@
 	#end(): void {
 		this.#hasEnded = true;
 		this.#signal.removeEventListener('abort', this.#onAbort);
-		this.#wake?.();
+		this.#resumeReader?.();
 	}
 }
--- a/src/backends/failure.ts
+++ b/src/backends/failure.ts
@@ -20,8 +20,8 @@
 const connectErrors = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
 /** Tells from a thrown error whether the request can have reached the backend server. */
-export function classifyThrown(thrown: unknown): BackendFailure {
-	const code = (thrown as {code?: string} | undefined)?.code ?? '';
+export function classifyError(error: unknown): BackendFailure {
+	const code = (error as {code?: string} | undefined)?.code ?? '';
 	const kind = connectErrors.has(code) ? 'unreached' : 'lost';
-	return {kind, message: readErrorMessage(thrown)};
+	return {kind, message: readErrorMessage(error)};
 }
--- a/src/backends/plain-client.ts
+++ b/src/backends/plain-client.ts
@@ -1,7 +1,7 @@
 /** Client of a plain service: any HTTP call, passed on as it is. */
 import {Left, Right, type Either} from 'purify-ts';
 import {request, type Dispatcher} from 'undici';
-import {classifyThrown, type BackendFailure} from './failure.js';
+import {classifyError, type BackendFailure} from './failure.js';
 
 /** A call on a plain service. */
 export type PlainCall = {
@@ -50,7 +50,7 @@
 				body: response.body,
 			});
 		} catch (error) {
-			return Left(classifyThrown(error));
+			return Left(classifyError(error));
 		}
 	}
 }
--- a/src/node/dispatch/admission-rules.ts
+++ b/src/node/dispatch/admission-rules.ts
@@ -93,12 +93,12 @@
 	}
 
 	#findRateRefusal(request: AdmitRequest): Failure | undefined {
-		const facts = this.#parts.directory.findOrganisation(request.organisation);
+		const settings = this.#parts.directory.findOrganisation(request.organisation);
 		const now = this.#parts.clock.readMonotonic();
-		const tokenWait = facts.tokensPerMinute === undefined ? 0 : this.#tokenRates.take(request.organisation, countTokens(request), facts.tokensPerMinute, now);
-		const requestWait = facts.requestsPerMinute === undefined || tokenWait > 0
+		const tokenWait = settings.tokensPerMinute === undefined ? 0 : this.#tokenRates.take(request.organisation, countTokens(request), settings.tokensPerMinute, now);
+		const requestWait = settings.requestsPerMinute === undefined || tokenWait > 0
 			? 0
-			: this.#requestRates.take(request.organisation, 1, facts.requestsPerMinute, now);
+			: this.#requestRates.take(request.organisation, 1, settings.requestsPerMinute, now);
 		const wait = Math.max(tokenWait, requestWait);
 		return wait === 0
 			? undefined
--- a/src/node/dispatch/decision-log.ts
+++ b/src/node/dispatch/decision-log.ts
@@ -22,8 +22,8 @@
 	}
 
 	/** A request was given its place after a wait in milliseconds. */
-	logPlacement(request: AdmitRequest, placement: Placement, choice: BackendServerId, more: {waited: number; openCount: number}): void {
-		this.#parts.metrics.recordTiming('queue.wait', more.waited, {pool: this.#parts.pool});
+	logPlacement(request: AdmitRequest, placement: Placement, choice: BackendServerId, details: {waited: number; openCount: number}): void {
+		this.#parts.metrics.recordTiming('queue.wait', details.waited, {pool: this.#parts.pool});
 		if (!this.#parts.logger.isLevelEnabled('info')) {
 			return;
 		}
@@ -32,13 +32,13 @@
 			...describeRequest(request),
 			event: 'placement',
 			term: this.#parts.term,
-			weighed: placement.weighed.map(weighed => ({
-				server: weighed.server.id, freeTokens: weighed.freeTokens, cachedTokens: weighed.cachedTokens, firstToken: Math.round(weighed.firstToken),
+			weighed: placement.candidates.map(candidate => ({
+				server: candidate.server.id, freeTokens: candidate.freeTokens, cachedTokens: candidate.cachedTokens, firstToken: Math.round(candidate.firstToken),
 			})),
-			weighedCount: more.openCount,
+			weighedCount: details.openCount,
 			choice,
 			reason: placement.reason,
-			waited: Math.round(more.waited),
+			waited: Math.round(details.waited),
 		}, 'request placed');
 	}
 
--- a/src/node/dispatch/directory.ts
+++ b/src/node/dispatch/directory.ts
@@ -3,7 +3,7 @@
 import {defaultPolicy, type Policy} from '../../policy/index.js';
 
 /** What is declared of an organisation. */
-export type OrganisationFacts = {
+export type OrganisationSettings = {
 	partner: PartnerId;
 	/** Requests a minute it may send to a pool; absent where not limited. */
 	requestsPerMinute?: number;
@@ -13,7 +13,7 @@
 
 /** Looks up the configuration in force. */
 export abstract class PoolDirectory {
-	abstract findOrganisation(organisation: OrganisationId): OrganisationFacts;
+	abstract findOrganisation(organisation: OrganisationId): OrganisationSettings;
 	abstract findPolicy(partner: PartnerId): Policy;
 	/** Agreed share of a partner in a pool, relative to the others' shares. */
 	abstract findShare(pool: PoolId, partner: PartnerId): number;
@@ -21,7 +21,7 @@
 
 /** A directory in which all are equal. */
 export class EqualDirectory extends PoolDirectory {
-	override findOrganisation(): OrganisationFacts {
+	override findOrganisation(): OrganisationSettings {
 		return {partner: 'everyone' as PartnerId};
 	}
 
--- a/src/node/dispatch/dispatcher.ts
+++ b/src/node/dispatch/dispatcher.ts
@@ -12,30 +12,30 @@
 import {AdmissionRules} from './admission-rules.js';
 import {DecisionLog} from './decision-log.js';
 import type {PoolDirectory} from './directory.js';
-import {computeCost, GrantBook, grantLifetime} from './grant-book.js';
+import {computeCost, GrantTracker, grantLifetime} from './grant-tracker.js';
 import type {Ledger, ServerState} from './ledger.js';
 import {
 	countTokens, type AdmitRequest, type Grant, type Heartbeat,
 } from './messages.js';
 import {
-	FirstTokenPlacement, type Placement, type PlacementPolicy, type PoolState, type WeighedServer,
+	FirstTokenPlacement, type Placement, type PlacementPolicy, type PoolState, type ScoredServer,
 } from './placement.js';
-import {findPriority} from './prefill-board.js';
+import {computePriority} from './prefill-estimator.js';
 import {PrefixIndex} from './prefix-index.js';
 import {
-	FairQueue, type RequestQueue, type Waiting,
+	FairQueue, type RequestQueue, type WaitingRequest,
 } from './request-queue.js';
-import {estimateHold, reservePlace, type Reservation} from './reservation.js';
+import {estimateHoldTime, reserveServer, type Reservation} from './reservation.js';
 import {WaitPredictor} from './wait-predictor.js';
 
 /** Waiting requests tried in one look at the queue: one that cannot be placed is behind many that cannot. */
-const mostTried = 64;
+const maxPlacementAttempts = 64;
 
 /** A predicted wait must pass the bound by this factor: a refusal of what would have fitted is worse than a late answer. */
-const predictionSlack = 1.5;
+const predictionTolerance = 1.5;
 
 /** How long a request waits while no backend server takes new work: long enough for one that restarts, in milliseconds. */
-const emptyPoolPatience = 5000;
+const emptyPoolTimeout = 5000;
 
 /** What a dispatcher needs from its surroundings. */
 export type DispatcherParts = {
@@ -69,7 +69,7 @@
 	 *
 	 * @default true
 	 */
-	reservesPlaces?: boolean;
+	usesReservations?: boolean;
 	/**
 	 * Whether engines are told to read short prompts first.
 	 *
@@ -97,10 +97,10 @@
 	readonly #rules: AdmissionRules;
 	readonly #log: DecisionLog;
 	readonly #predictor = new WaitPredictor();
-	readonly #grants: GrantBook;
+	readonly #grants: GrantTracker;
 	#reservation: Reservation | undefined;
 	#isOpen = false;
-	#closedBy: Failure | undefined;
+	#closeFailure: Failure | undefined;
 	#emptyTimer: Timer | undefined;
 
 	constructor(parts: DispatcherParts) {
@@ -110,7 +110,7 @@
 		this.#parts = parts;
 		this.#placement = parts.placement ?? new FirstTokenPlacement();
 		this.#queue = parts.queue ?? new FairQueue();
-		this.#grants = new GrantBook(parts.clock, this.#queue);
+		this.#grants = new GrantTracker(parts.clock, this.#queue);
 		this.#rules = new AdmissionRules({...parts, ledger: this.ledger, countWaiting: () => this.#queue.size});
 		this.#log = new DecisionLog(parts);
 	}
@@ -134,7 +134,7 @@
 
 	/** Stops for good: requests that wait are answered with the failure and nothing more is granted. */
 	close(failure: Failure): void {
-		this.#closedBy = failure;
+		this.#closeFailure = failure;
 		this.#emptyTimer?.cancel();
 		for (const waiting of this.#queue.removeAll()) {
 			finishWaiting(waiting, Left(failure));
@@ -149,8 +149,8 @@
 	}
 
 	/** Forgets what a backend server had cached: it was restarted. */
-	forgetCache(server: BackendServerId): void {
-		this.#prefixes.forget(server);
+	invalidateCache(server: BackendServerId): void {
+		this.#prefixes.removeServer(server);
 	}
 
 	/** Takes over grants that another dispatcher gave. */
@@ -161,7 +161,7 @@
 	/** Asks for a place; resolves with a grant, or with a failure no later than the request's patience allows. */
 	async admit(request: AdmitRequest): Promise<Either<Failure, Grant>> {
 		const {partner} = this.#parts.directory.findOrganisation(request.organisation);
-		const refusal = this.#closedBy ?? (this.#isOpen ? this.#rules.findRefusal(request, partner) : undefined);
+		const refusal = this.#closeFailure ?? (this.#isOpen ? this.#rules.findRefusal(request, partner) : undefined);
 		if (refusal !== undefined) {
 			this.#log.logRefusal(request, refusal);
 			return Left(refusal);
@@ -169,11 +169,11 @@
 
 		return new Promise(resolve => {
 			const timer = this.#parts.clock.setTimer(request.patience, () => {
-				this.#giveUp(request.requestId);
+				this.#expire(request.requestId);
 			});
-			const waiting = this.#describeWaiting(request, partner, timer, resolve);
+			const waiting = this.#createWaiting(request, partner, timer, resolve);
 			// What waits already could not be placed, and a newcomer gives it no room.
-			const isPlaced = this.#isOpen && this.#mayPassQueue() && this.#tryPlace(waiting);
+			const isPlaced = this.#isOpen && this.#canBypassQueue() && this.#tryPlace(waiting);
 			if (!isPlaced) {
 				this.#enqueue(waiting);
 			}
@@ -182,7 +182,7 @@
 
 	/** Takes a waiting request out of the queue: its caller is gone. */
 	withdraw(requestId: RequestId): void {
-		const waiting = this.#leaveQueue(requestId, 0);
+		const waiting = this.#removeFromQueue(requestId, 0);
 		if (waiting !== undefined) {
 			finishWaiting(waiting, Left(createFailure('caller_gone', 'the request was withdrawn while it waited', {ran: 'no'})));
 			this.#serveQueue();
@@ -201,7 +201,7 @@
 	 * Returns whether the two disagree on how many grants the entry holds.
 	 */
 	acceptHeartbeat(heartbeat: Heartbeat): boolean {
-		this.#grants.noteHeard(heartbeat.entry);
+		this.#grants.recordHeartbeat(heartbeat.entry);
 		this.#grants.release(heartbeat.released);
 		this.#serveQueue();
 		return this.ledger.listGrants(heartbeat.entry).length !== heartbeat.activeCount;
@@ -225,7 +225,7 @@
 		this.#grants.prune();
 	}
 
-	#describeWaiting(request: AdmitRequest, partner: PartnerId, timer: Timer, resolve: Waiting['resolve']): Waiting {
+	#createWaiting(request: AdmitRequest, partner: PartnerId, timer: Timer, resolve: WaitingRequest['resolve']): WaitingRequest {
 		const {directory} = this.#parts;
 		const policy = directory.findPolicy(partner);
 		const context = this.#rules.describeContext(request);
@@ -241,7 +241,7 @@
 		};
 	}
 
-	#enqueue(waiting: Waiting): void {
+	#enqueue(waiting: WaitingRequest): void {
 		const refusal = this.#isOpen ? this.#predictOverload(waiting.request) : undefined;
 		if (refusal !== undefined) {
 			this.#log.logRefusal(waiting.request, refusal);
@@ -261,14 +261,14 @@
 			return undefined;
 		}
 
-		const priority = findPriority(request.promptTokens);
-		let ahead = countTokens(request);
+		const priority = computePriority(request.promptTokens);
+		let tokensAhead = countTokens(request);
 		for (const waiting of this.#queue.listInOrder()) {
-			ahead += findPriority(waiting.request.promptTokens) === priority ? countTokens(waiting.request) : 0;
+			tokensAhead += computePriority(waiting.request.promptTokens) === priority ? countTokens(waiting.request) : 0;
 		}
 
-		const wait = this.#predictor.predictWait(request.promptTokens, ahead, this.#parts.clock.readMonotonic());
-		if (wait === undefined || wait <= request.patience * predictionSlack) {
+		const wait = this.#predictor.predictWait(request.promptTokens, tokensAhead, this.#parts.clock.readMonotonic());
+		if (wait === undefined || wait <= request.patience * predictionTolerance) {
 			return undefined;
 		}
 
@@ -277,8 +277,8 @@
 	}
 
 	/** A newcomer is tried at once while the queue's head has its place kept: it then can take nothing away from it. */
-	#mayPassQueue(): boolean {
-		return this.#queue.size === 0 || this.#reservation !== undefined || this.#parts.reservesPlaces === false;
+	#canBypassQueue(): boolean {
+		return this.#queue.size === 0 || this.#reservation !== undefined || this.#parts.usesReservations === false;
 	}
 
 	#serveQueue(): void {
@@ -288,20 +288,20 @@
 
 		this.#reservation = undefined;
 		let tried = 0;
-		let mustLook = true;
-		while (mustLook) {
-			mustLook = false;
+		let mustRescan = true;
+		while (mustRescan) {
+			mustRescan = false;
 			const largestFree = this.ledger.findLargestFree();
 			for (const waiting of this.#queue.listInOrder()) {
-				if (tried++ >= mostTried) {
+				if (tried++ >= maxPlacementAttempts) {
 					break;
 				}
 
 				// Most that waits is larger than all that is free: looking at every server for it would hold the loop for milliseconds.
 				if (countTokens(waiting.request) <= largestFree && this.#tryPlace(waiting)) {
-					this.#leaveQueue(waiting.request.requestId, countTokens(waiting.request));
+					this.#removeFromQueue(waiting.request.requestId, countTokens(waiting.request));
 					// A placement changes whose turn it is.
-					mustLook = true;
+					mustRescan = true;
 					break;
 				}
 
@@ -318,19 +318,19 @@
 	}
 
 	/** Keeps a place for the first request that found none. */
-	#reserveFor(waiting: Waiting): void {
-		if (this.#reservation === undefined && this.#parts.reservesPlaces !== false && !this.#rules.isOverLimit(waiting.request, waiting.partner)) {
-			this.#reservation = reservePlace(waiting.request, this.ledger, this.#parts.clock.readMonotonic());
+	#reserveFor(waiting: WaitingRequest): void {
+		if (this.#reservation === undefined && this.#parts.usesReservations !== false && !this.#rules.isOverLimit(waiting.request, waiting.partner)) {
+			this.#reservation = reserveServer(waiting.request, this.ledger, this.#parts.clock.readMonotonic());
 		}
 	}
 
-	#tryPlace(waiting: Waiting): boolean {
+	#tryPlace(waiting: WaitingRequest): boolean {
 		if (this.#rules.isOverLimit(waiting.request, waiting.partner)) {
 			return false;
 		}
 
 		const state: PoolState = {
-			ledger: this.ledger, board: this.#grants.board, prefixes: this.#prefixes, reservation: this.#reservation, now: this.#parts.clock.readMonotonic(),
+			ledger: this.ledger, prefillEstimator: this.#grants.prefillEstimator, prefixes: this.#prefixes, reservation: this.#reservation, now: this.#parts.clock.readMonotonic(),
 		};
 		const placement = this.#placement.place(waiting.request, state);
 		if (placement.choice === undefined) {
@@ -341,7 +341,7 @@
 		return true;
 	}
 
-	#grant(waiting: Waiting, placement: Placement, choice: WeighedServer): void {
+	#grant(waiting: WaitingRequest, placement: Placement, choice: ScoredServer): void {
 		const {request} = waiting;
 		const {server, cachedTokens} = choice;
 		const now = this.#parts.clock.readMonotonic();
@@ -350,14 +350,14 @@
 			this.#reservation = undefined;
 		}
 
-		const read = this.#grants.board.recordSent(server, request.promptTokens, cachedTokens, now);
-		this.#grants.hold(grant, read, this.#queue.charge(waiting, computeCost(grant.tokens, grant.expectedHold)));
+		const expectedPrefill = this.#grants.prefillEstimator.recordSent(server, request.promptTokens, cachedTokens, now);
+		this.#grants.hold(grant, expectedPrefill, this.#queue.charge(waiting, computeCost(grant.tokens, grant.expectedHold)));
 		this.#prefixes.recordSent(server.id, request.promptTokens, request.prefixes.hashes);
 		this.#log.logPlacement(request, placement, server.id, {waited: now - waiting.since, openCount: this.ledger.listOpen().length});
 		finishWaiting(waiting, Right(grant));
 	}
 
-	#createGrant(waiting: Waiting, choice: WeighedServer, now: number): Grant {
+	#createGrant(waiting: WaitingRequest, choice: ScoredServer, now: number): Grant {
 		const {request} = waiting;
 		return {
 			grantId: this.#parts.ids.createUuid() as GrantId,
@@ -368,15 +368,15 @@
 			backendServer: choice.server.id,
 			url: choice.server.url,
 			tokens: countTokens(request),
-			expectedHold: estimateHold(choice.server, request, choice.cachedTokens),
-			priority: this.#parts.usesPriorities === false ? 0 : findPriority(request.promptTokens),
+			expectedHold: estimateHoldTime(choice.server, request, choice.cachedTokens),
+			priority: this.#parts.usesPriorities === false ? 0 : computePriority(request.promptTokens),
 			term: this.term,
 			usableFor: now - waiting.since + grantLifetime,
 		};
 	}
 
-	#giveUp(requestId: RequestId): void {
-		const waiting = this.#leaveQueue(requestId, 0);
+	#expire(requestId: RequestId): void {
+		const waiting = this.#removeFromQueue(requestId, 0);
 		if (waiting === undefined) {
 			return;
 		}
@@ -388,7 +388,7 @@
 	}
 
 	/** Takes a request out of the queue; `servedTokens` are 0 unless it has been given its place. */
-	#leaveQueue(requestId: RequestId, servedTokens: number): Waiting | undefined {
+	#removeFromQueue(requestId: RequestId, servedTokens: number): WaitingRequest | undefined {
 		const waiting = this.#queue.remove(requestId);
 		if (waiting !== undefined) {
 			this.#predictor.recordDone(waiting.request.promptTokens, servedTokens, this.#parts.clock.readMonotonic());
@@ -403,7 +403,7 @@
 			return;
 		}
 
-		this.#emptyTimer = this.#parts.clock.setTimer(emptyPoolPatience, () => {
+		this.#emptyTimer = this.#parts.clock.setTimer(emptyPoolTimeout, () => {
 			this.#emptyTimer = undefined;
 			if (this.ledger.listOpen().length > 0) {
 				return;
@@ -419,7 +419,7 @@
 	}
 }
 
-function finishWaiting(waiting: Waiting, result: Either<Failure, Grant>): void {
+function finishWaiting(waiting: WaitingRequest, result: Either<Failure, Grant>): void {
 	waiting.timer.cancel();
 	waiting.resolve(result);
 }
--- a/src/node/dispatch/grant-book.ts
+++ b/src/node/dispatch/grant-tracker.ts
@@ -6,28 +6,28 @@
 import type {Clock, GrantId, Incarnation} from '../../common/index.js';
 import {Ledger, type HeldGrant} from './ledger.js';
 import type {Grant} from './messages.js';
-import {PrefillBoard, type ExpectedRead} from './prefill-board.js';
+import {PrefillEstimator, type ExpectedPrefill} from './prefill-estimator.js';
 import type {Charge, RequestQueue} from './request-queue.js';
 
 /** How long a grant may stay unused, in milliseconds. */
 export const grantLifetime = 2000;
 
 /** Added to a grant's lifetime before the dispatcher takes it back unasked, in milliseconds. */
-export const grantMargin = 1000;
+export const reclaimMargin = 1000;
 
 /** Silence after which an entry that holds grants counts as dead, in milliseconds. */
-export const entrySilence = 6000;
+export const entryTimeout = 6000;
 
 /** Grants that are out. */
-export class GrantBook {
+export class GrantTracker {
 	readonly ledger = new Ledger();
 	/** What servers are expected to read. */
-	readonly board = new PrefillBoard();
+	readonly prefillEstimator = new PrefillEstimator();
 	readonly #clock: Clock;
 	readonly #queue: RequestQueue;
-	readonly #lastHeard = new Map<Incarnation, number>();
+	readonly #lastHeartbeats = new Map<Incarnation, number>();
 	readonly #charges = new Map<GrantId, Charge>();
-	readonly #reads = new Map<GrantId, ExpectedRead>();
+	readonly #prefills = new Map<GrantId, ExpectedPrefill>();
 
 	constructor(clock: Clock, queue: RequestQueue) {
 		this.#clock = clock;
@@ -39,17 +39,17 @@
 		const now = this.#clock.readMonotonic();
 		for (const grant of grants) {
 			this.ledger.hold(grant, now);
-			this.#lastHeard.set(grant.entry, now);
+			this.#lastHeartbeats.set(grant.entry, now);
 		}
 	}
 
 	/** Holds a new grant, with what it was charged and is expected to read. */
-	hold(grant: Grant, read: ExpectedRead, charge: Charge): void {
+	hold(grant: Grant, prefill: ExpectedPrefill, charge: Charge): void {
 		const now = this.#clock.readMonotonic();
 		this.ledger.hold(grant, now);
-		this.#reads.set(grant.grantId, read);
+		this.#prefills.set(grant.grantId, prefill);
 		this.#charges.set(grant.grantId, charge);
-		this.#lastHeard.set(grant.entry, now);
+		this.#lastHeartbeats.set(grant.entry, now);
 	}
 
 	/** Frees grants, and corrects what was charged for them to what they took. */
@@ -59,48 +59,48 @@
 			const held = this.ledger.release(grantId);
 			if (held !== undefined) {
 				this.#correctCharge(held, now);
-				this.#correctRead(grantId, now);
+				this.#recordPrefillDone(grantId, now);
 			}
 		}
 	}
 
 	/** Notes that an entry gave a sign of life. */
-	noteHeard(entry: Incarnation): void {
-		this.#lastHeard.set(entry, this.#clock.readMonotonic());
+	recordHeartbeat(entry: Incarnation): void {
+		this.#lastHeartbeats.set(entry, this.#clock.readMonotonic());
 	}
 
 	/** Frees what an entry does not list. Young grants may still be on their way and stay. */
 	reconcile(entry: Incarnation, active: Grant[]): void {
 		this.adopt(active);
-		const kept = new Set(active.map(grant => grant.grantId));
-		const oldest = this.#clock.readMonotonic() - grantLifetime - grantMargin;
-		const stale = this.ledger.listGrants(entry).filter(held => !kept.has(held.grant.grantId) && held.since < oldest);
+		const activeIds = new Set(active.map(grant => grant.grantId));
+		const oldest = this.#clock.readMonotonic() - grantLifetime - reclaimMargin;
+		const stale = this.ledger.listGrants(entry).filter(held => !activeIds.has(held.grant.grantId) && held.since < oldest);
 		this.release(stale.map(held => held.grant.grantId));
 	}
 
 	/** Lists the grants of entries that have been silent for too long. */
 	listOrphans(): Grant[] {
-		const limit = this.#clock.readMonotonic() - entrySilence;
+		const limit = this.#clock.readMonotonic() - entryTimeout;
 		return this.ledger.listGrants()
-			.filter(held => Math.max(held.since, this.#lastHeard.get(held.grant.entry) ?? 0) < limit)
+			.filter(held => Math.max(held.since, this.#lastHeartbeats.get(held.grant.entry) ?? 0) < limit)
 			.map(held => held.grant);
 	}
 
 	/** Forgets entries that hold nothing. */
 	prune(): void {
 		const holders = new Set(this.ledger.listGrants().map(held => held.grant.entry));
-		for (const entry of this.#lastHeard.keys()) {
+		for (const entry of this.#lastHeartbeats.keys()) {
 			if (!holders.has(entry)) {
-				this.#lastHeard.delete(entry);
+				this.#lastHeartbeats.delete(entry);
 			}
 		}
 	}
 
-	#correctRead(grantId: GrantId, now: number): void {
-		const read = this.#reads.get(grantId);
-		if (read !== undefined) {
-			this.#reads.delete(grantId);
-			this.board.recordDone(read, now);
+	#recordPrefillDone(grantId: GrantId, now: number): void {
+		const prefill = this.#prefills.get(grantId);
+		if (prefill !== undefined) {
+			this.#prefills.delete(grantId);
+			this.prefillEstimator.recordDone(prefill, now);
 		}
 	}
 
--- a/src/node/dispatch/placement.ts
+++ b/src/node/dispatch/placement.ts
@@ -2,12 +2,12 @@
 import type {BackendServerId} from '../../common/index.js';
 import type {Ledger, ServerState} from './ledger.js';
 import {countTokens, type AdmitRequest} from './messages.js';
-import {computeReadTime, isLongPrompt, type PrefillBoard} from './prefill-board.js';
+import {computePrefillTime, isLongPrompt, type PrefillEstimator} from './prefill-estimator.js';
 import type {PrefixIndex} from './prefix-index.js';
 import type {Reservation} from './reservation.js';
 
 /** A backend server that was weighed, with what decided. */
-export type WeighedServer = {
+export type ScoredServer = {
 	server: ServerState;
 	freeTokens: number;
 	/** Tokens of the prompt that it is likely to have cached. */
@@ -15,22 +15,22 @@
 	/** Expected milliseconds to the first token. */
 	firstToken: number;
 	/** Weighted milliseconds by which it would delay others; the least sum of both is chosen. */
-	harm: number;
+	delayCost: number;
 };
 
 /** The outcome of a placement. */
 export type Placement = {
 	/** Absent when the request has to wait. */
-	choice: WeighedServer | undefined;
+	choice: ScoredServer | undefined;
 	/** The first few servers weighed. */
-	weighed: WeighedServer[];
+	candidates: ScoredServer[];
 	reason: string;
 };
 
 /** The state of a pool that placements look at. */
 export type PoolState = {
 	ledger: Ledger;
-	board: PrefillBoard;
+	prefillEstimator: PrefillEstimator;
 	prefixes: PrefixIndex;
 	reservation: Reservation | undefined;
 	now: number;
@@ -48,13 +48,13 @@
 	 *
 	 * @default 0.25
 	 */
-	harmWeight: number;
+	delayWeight: number;
 	/**
 	 * Whether a server reads one long prompt at a time, the others waiting where they can still be reordered.
 	 *
 	 * @default true
 	 */
-	readsLongSingly: boolean;
+	limitsLongPrefills: boolean;
 	/**
 	 * Whether cached prefixes count.
 	 *
@@ -64,15 +64,15 @@
 };
 
 /** The options in force. */
-export const defaultFirstTokenOptions: FirstTokenOptions = {harmWeight: 0.25, readsLongSingly: true, usesPrefixes: true};
+export const defaultFirstTokenOptions: FirstTokenOptions = {delayWeight: 0.25, limitsLongPrefills: true, usesPrefixes: true};
 
 /** Servers kept of those weighed, for the log. */
-const mostWeighedKept = 8;
+const maxLoggedCandidates = 8;
 
-const noneCached: ReadonlyMap<BackendServerId, number> = new Map();
+const nothingCached: ReadonlyMap<BackendServerId, number> = new Map();
 
 /** Backlog of reading that a further long prompt may find on a server, in milliseconds. */
-const longBacklogAllowed = 50;
+const maxLongBacklog = 50;
 
 /** Chooses the server with the least expected time to first token, among those with room. */
 export class FirstTokenPlacement extends PlacementPolicy {
@@ -84,9 +84,9 @@
 	}
 
 	override place(request: AdmitRequest, state: PoolState): Placement {
-		const cached = this.#options.usesPrefixes ? state.prefixes.findCached(request.prefixes) : noneCached;
-		const weighed: WeighedServer[] = [];
-		let best: WeighedServer | undefined;
+		const cached = this.#options.usesPrefixes ? state.prefixes.findCached(request.prefixes) : nothingCached;
+		const candidates: ScoredServer[] = [];
+		let best: ScoredServer | undefined;
 		let hasOpen = false;
 		for (const server of state.ledger.listOpen()) {
 			if (request.excluded.includes(server.id)) {
@@ -94,39 +94,39 @@
 			}
 
 			hasOpen = true;
-			const candidate = this.#weigh(request, server, cached.get(server.id) ?? 0, state);
-			if (weighed.length < mostWeighedKept) {
-				weighed.push(candidate);
+			const candidate = this.#score(request, server, cached.get(server.id) ?? 0, state);
+			if (candidates.length < maxLoggedCandidates) {
+				candidates.push(candidate);
 			}
 
-			if ((best === undefined || isBetter(candidate, best)) && this.#mayTake(request, candidate, state)) {
+			if ((best === undefined || isBetter(candidate, best)) && this.#canPlace(request, candidate, state)) {
 				best = candidate;
 			}
 		}
 
 		const reason = hasOpen ? 'no-room' : 'none-open';
-		return {choice: best, weighed, reason: best === undefined ? reason : describeChoice(best)};
+		return {choice: best, candidates, reason: best === undefined ? reason : describeChoice(best)};
 	}
 
-	#weigh(request: AdmitRequest, server: ServerState, cachedTokens: number, state: PoolState): WeighedServer {
-		const hasLater = state.board.readLaterBacklog(server.id, request.promptTokens, state.now) > 0;
+	#score(request: AdmitRequest, server: ServerState, cachedTokens: number, state: PoolState): ScoredServer {
+		const isDelayingOthers = state.prefillEstimator.estimateLaterBacklog(server.id, request.promptTokens, state.now) > 0;
 		return {
 			server,
 			freeTokens: state.ledger.countFree(server.id),
 			cachedTokens,
-			firstToken: state.board.predictFirstToken(server, request.promptTokens, cachedTokens, state.now),
-			harm: hasLater ? computeReadTime(server, request.promptTokens - cachedTokens) * this.#options.harmWeight : 0,
+			firstToken: state.prefillEstimator.predictFirstToken(server, request.promptTokens, cachedTokens, state.now),
+			delayCost: isDelayingOthers ? computePrefillTime(server, request.promptTokens - cachedTokens) * this.#options.delayWeight : 0,
 		};
 	}
 
-	#mayTake(request: AdmitRequest, candidate: WeighedServer, state: PoolState): boolean {
+	#canPlace(request: AdmitRequest, candidate: ScoredServer, state: PoolState): boolean {
 		const {server} = candidate;
 		const hasRoom = candidate.freeTokens >= countTokens(request);
-		if (!hasRoom || state.reservation?.isInTheWay(server, request, candidate, state.now)) {
+		if (!hasRoom || state.reservation?.isDelayedBy(server, request, candidate, state.now)) {
 			return false;
 		}
 
-		return !this.#options.readsLongSingly || !isLongPrompt(request.promptTokens) || state.board.readBacklog(server.id, state.now) <= longBacklogAllowed;
+		return !this.#options.limitsLongPrefills || !isLongPrompt(request.promptTokens) || state.prefillEstimator.estimateBacklog(server.id, state.now) <= maxLongBacklog;
 	}
 }
 
@@ -139,11 +139,11 @@
 		for (const _ of open) {
 			const server = open[this.#next++ % open.length];
 			if (!request.excluded.includes(server.id) && state.ledger.countFree(server.id) >= countTokens(request)) {
-				return {choice: weighPlainly(server, state), weighed: [], reason: 'next-in-turn'};
+				return {choice: describeServer(server, state), candidates: [], reason: 'next-in-turn'};
 			}
 		}
 
-		return {choice: undefined, weighed: [], reason: open.length === 0 ? 'none-open' : 'no-room'};
+		return {choice: undefined, candidates: [], reason: open.length === 0 ? 'none-open' : 'no-room'};
 	}
 }
 
@@ -162,19 +162,19 @@
 			}
 		}
 
-		return {choice: best === undefined ? undefined : weighPlainly(best.server, state), weighed: [], reason: best === undefined ? 'no-room' : 'fewest-requests'};
+		return {choice: best === undefined ? undefined : describeServer(best.server, state), candidates: [], reason: best === undefined ? 'no-room' : 'fewest-requests'};
 	}
 }
 
-function weighPlainly(server: ServerState, state: PoolState): WeighedServer {
+function describeServer(server: ServerState, state: PoolState): ScoredServer {
 	return {
-		server, freeTokens: state.ledger.countFree(server.id), cachedTokens: 0, firstToken: 0, harm: 0,
+		server, freeTokens: state.ledger.countFree(server.id), cachedTokens: 0, firstToken: 0, delayCost: 0,
 	};
 }
 
 /** Ties go to the server with more room, so that equal servers fill alike. */
-function isBetter(candidate: WeighedServer, best: WeighedServer): boolean {
-	const difference = candidate.firstToken + candidate.harm - best.firstToken - best.harm;
+function isBetter(candidate: ScoredServer, best: ScoredServer): boolean {
+	const difference = candidate.firstToken + candidate.delayCost - best.firstToken - best.delayCost;
 	if (difference !== 0) {
 		return difference < 0;
 	}
@@ -182,6 +182,6 @@
 	return candidate.freeTokens / candidate.server.capacity > best.freeTokens / best.server.capacity;
 }
 
-function describeChoice(best: WeighedServer): string {
+function describeChoice(best: ScoredServer): string {
 	return best.cachedTokens > 0 ? 'least-first-token-cached' : 'least-first-token';
 }
--- a/src/node/dispatch/prefill-board.ts
+++ b/src/node/dispatch/prefill-estimator.ts
@@ -10,75 +10,75 @@
 import type {ServerState} from './ledger.js';
 
 /** Upper ends of the lengths that share an engine priority, in tokens; shorter goes first. */
-const priorityLengths = [8000, 32_000, 100_000, 300_000, Number.POSITIVE_INFINITY];
+const priorityMaxTokens = [8000, 32_000, 100_000, 300_000, Number.POSITIVE_INFINITY];
 
 /** First priority of prompts that count as long: a server reads one of them at a time. */
 const firstLongPriority = 2;
 
 /** Expected time for which a prompt waits for the piece of a later one that is being read, in milliseconds. */
-const pieceWait = 13;
+const chunkWait = 13;
 
 /** When a prompt was expected to have been read. */
-export type ExpectedRead = {
+export type ExpectedPrefill = {
 	server: BackendServerId;
 	priority: number;
 	/** Milliseconds of reading. */
-	read: number;
+	duration: number;
 	/** Monotonic time. */
 	end: number;
 };
 
 /** Priority of a prompt at the engine; the least goes first. */
-export function findPriority(promptTokens: number): number {
-	return priorityLengths.findIndex(length => promptTokens <= length);
+export function computePriority(promptTokens: number): number {
+	return priorityMaxTokens.findIndex(length => promptTokens <= length);
 }
 
 /** Whether a prompt is long. */
 export function isLongPrompt(promptTokens: number): boolean {
-	return findPriority(promptTokens) >= firstLongPriority;
+	return computePriority(promptTokens) >= firstLongPriority;
 }
 
 /** Expected reading times of a pool's servers. */
-export class PrefillBoard {
+export class PrefillEstimator {
 	/** For each server, the monotonic time for each priority. */
-	readonly #times = new Map<BackendServerId, number[]>();
+	readonly #endTimes = new Map<BackendServerId, number[]>();
 
 	/** Milliseconds until the first token of a prompt of which this many tokens are not cached. */
 	predictFirstToken(server: ServerState, promptTokens: number, cached: number, now: number): number {
-		const times = this.#times.get(server.id);
-		const read = computeReadTime(server, promptTokens - cached);
+		const times = this.#endTimes.get(server.id);
+		const duration = computePrefillTime(server, promptTokens - cached);
 		if (times === undefined) {
-			return read;
+			return duration;
 		}
 
-		const priority = findPriority(promptTokens);
-		const isReadingLater = times.at(-1)! > Math.max(now, times[priority]);
-		return Math.max(0, times[priority] - now) + read + (isReadingLater ? pieceWait : 0);
+		const priority = computePriority(promptTokens);
+		const isPrefillingLater = times.at(-1)! > Math.max(now, times[priority]);
+		return Math.max(0, times[priority] - now) + duration + (isPrefillingLater ? chunkWait : 0);
 	}
 
 	/** Milliseconds until every prompt on a server has been read. */
-	readBacklog(server: BackendServerId, now: number): number {
-		return Math.max(0, (this.#times.get(server)?.at(-1) ?? 0) - now);
+	estimateBacklog(server: BackendServerId, now: number): number {
+		return Math.max(0, (this.#endTimes.get(server)?.at(-1) ?? 0) - now);
 	}
 
 	/** Milliseconds by which a prompt of a priority holds up those of later ones on a server. */
-	readLaterBacklog(server: BackendServerId, promptTokens: number, now: number): number {
-		const times = this.#times.get(server);
-		return times === undefined ? 0 : Math.max(0, times.at(-1)! - Math.max(now, times[findPriority(promptTokens)]));
+	estimateLaterBacklog(server: BackendServerId, promptTokens: number, now: number): number {
+		const times = this.#endTimes.get(server);
+		return times === undefined ? 0 : Math.max(0, times.at(-1)! - Math.max(now, times[computePriority(promptTokens)]));
 	}
 
 	/** Notes that a prompt was sent to a server. Returns what `recordDone` needs when its request has ended. */
-	recordSent(server: ServerState, promptTokens: number, cached: number, now: number): ExpectedRead {
-		const read = computeReadTime(server, promptTokens - cached);
-		const times = this.#times.get(server.id) ?? priorityLengths.map(() => now);
-		const first = findPriority(promptTokens);
+	recordSent(server: ServerState, promptTokens: number, cached: number, now: number): ExpectedPrefill {
+		const duration = computePrefillTime(server, promptTokens - cached);
+		const times = this.#endTimes.get(server.id) ?? priorityMaxTokens.map(() => now);
+		const first = computePriority(promptTokens);
 		for (let priority = first; priority < times.length; priority++) {
-			times[priority] = Math.max(times[priority], now) + read;
+			times[priority] = Math.max(times[priority], now) + duration;
 		}
 
-		this.#times.set(server.id, times);
+		this.#endTimes.set(server.id, times);
 		return {
-			server: server.id, priority: first, read, end: times[first],
+			server: server.id, priority: first, duration, end: times[first],
 		};
 	}
 
@@ -86,9 +86,9 @@
 	 * Notes that a request has ended. One that ended before its prompt was expected to be read
 	 * shows that the server is ahead of its times, by at most that prompt.
 	 */
-	recordDone(expected: ExpectedRead, now: number): void {
-		const times = this.#times.get(expected.server);
-		const ahead = Math.min(expected.read, expected.end - now);
+	recordDone(expected: ExpectedPrefill, now: number): void {
+		const times = this.#endTimes.get(expected.server);
+		const ahead = Math.min(expected.duration, expected.end - now);
 		if (times === undefined || ahead <= 0) {
 			return;
 		}
@@ -100,6 +100,6 @@
 }
 
 /** Milliseconds for reading tokens of a prompt. */
-export function computeReadTime(server: ServerState, tokens: number): number {
+export function computePrefillTime(server: ServerState, tokens: number): number {
 	return Math.max(0, tokens) / server.prefillRate * 1000;
 }
--- a/src/node/dispatch/prefix-index.ts
+++ b/src/node/dispatch/prefix-index.ts
@@ -19,10 +19,10 @@
 export const noPrefixes: PromptPrefixes = {hashes: [], firstTokens: 0};
 
 /** Prefixes remembered for a pool. */
-const mostPrefixes = 65_536;
+const maxPrefixes = 65_536;
 
 /** A prefix counts as cached until this many tokens have been sent to the server after it. */
-const rememberedTokens = 450_000;
+const cacheWindowTokens = 450_000;
 
 /** Likely cache contents of the servers of a pool. */
 export class PrefixIndex {
@@ -36,7 +36,7 @@
 		const cached = new Map<BackendServerId, number>();
 		for (const [index, hash] of prefixes.hashes.entries()) {
 			for (const [server, usedAt] of this.#prefixes.get(hash) ?? []) {
-				if ((this.#sent.get(server) ?? 0) - usedAt < rememberedTokens) {
+				if ((this.#sent.get(server) ?? 0) - usedAt < cacheWindowTokens) {
 					cached.set(server, prefixes.firstTokens * (2 ** index));
 				}
 			}
@@ -58,7 +58,7 @@
 		}
 
 		for (const hash of this.#prefixes.keys()) {
-			if (this.#prefixes.size <= mostPrefixes) {
+			if (this.#prefixes.size <= maxPrefixes) {
 				break;
 			}
 
@@ -67,7 +67,7 @@
 	}
 
 	/** Forgets a server whose cache is gone: it was restarted or left. */
-	forget(server: BackendServerId): void {
+	removeServer(server: BackendServerId): void {
 		this.#sent.delete(server);
 		for (const servers of this.#prefixes.values()) {
 			servers.delete(server);
--- a/src/node/dispatch/request-queue.ts
+++ b/src/node/dispatch/request-queue.ts
@@ -7,7 +7,7 @@
 import type {AdmitRequest, Grant} from './messages.js';
 
 /** A request that waits. */
-export type Waiting = {
+export type WaitingRequest = {
 	request: AdmitRequest;
 	partner: PartnerId;
 	/** Place within its organisation; the least first. */
@@ -42,13 +42,13 @@
 	}
 
 	/** Adds a request. */
-	add(waiting: Waiting): void {
+	add(waiting: WaitingRequest): void {
 		this.#size++;
 		this.insert(waiting);
 	}
 
 	/** Takes a request out; undefined when it does not wait here. */
-	remove(requestId: RequestId): Waiting | undefined {
+	remove(requestId: RequestId): WaitingRequest | undefined {
 		const waiting = this.extract(requestId);
 		if (waiting !== undefined) {
 			this.#size--;
@@ -58,7 +58,7 @@
 	}
 
 	/** Takes all requests out. */
-	removeAll(): Waiting[] {
+	removeAll(): WaitingRequest[] {
 		const all = [...this.listInOrder()];
 		for (const waiting of all) {
 			this.remove(waiting.request.requestId);
@@ -71,23 +71,23 @@
 	abstract prune(): void;
 
 	/** The waiting requests, the one to serve next first. Not to be changed while it is read. */
-	abstract listInOrder(): Iterable<Waiting>;
+	abstract listInOrder(): Iterable<WaitingRequest>;
 
 	/** Charges a request's flow when it is given a place. */
-	abstract charge(waiting: Waiting, cost: number): Charge;
+	abstract charge(waiting: WaitingRequest, cost: number): Charge;
 
 	/** Corrects a charge by the true cost, in token-seconds. */
 	abstract correct(charge: Charge, cost: number): void;
 
-	protected abstract insert(waiting: Waiting): void;
-	protected abstract extract(requestId: RequestId): Waiting | undefined;
+	protected abstract insert(waiting: WaitingRequest): void;
+	protected abstract extract(requestId: RequestId): WaitingRequest | undefined;
 }
 
 /** What queues without shares have in common: one list. */
 abstract class ListQueue extends RequestQueue {
-	protected readonly list: Waiting[] = [];
+	protected readonly list: WaitingRequest[] = [];
 
-	override charge(waiting: Waiting, cost: number): Charge {
+	override charge(waiting: WaitingRequest, cost: number): Charge {
 		return describeCharge(waiting, cost);
 	}
 
@@ -99,11 +99,11 @@
 		// There are no flows.
 	}
 
-	override listInOrder(): Iterable<Waiting> {
+	override listInOrder(): Iterable<WaitingRequest> {
 		return this.list;
 	}
 
-	protected override extract(requestId: RequestId): Waiting | undefined {
+	protected override extract(requestId: RequestId): WaitingRequest | undefined {
 		const index = this.list.findIndex(waiting => waiting.request.requestId === requestId);
 		return index === -1 ? undefined : this.list.splice(index, 1)[0];
 	}
@@ -111,21 +111,21 @@
 
 /** Baseline: first come, first served. */
 export class ArrivalQueue extends ListQueue {
-	protected override insert(waiting: Waiting): void {
+	protected override insert(waiting: WaitingRequest): void {
 		this.list.push(waiting);
 	}
 }
 
 /** Baseline: the shortest prompt first. */
 export class ShortestQueue extends ListQueue {
-	protected override insert(waiting: Waiting): void {
+	protected override insert(waiting: WaitingRequest): void {
 		insertSorted(this.list, waiting, other => other.request.promptTokens > waiting.request.promptTokens);
 	}
 }
 
 type OrganisationFlow = {
 	id: OrganisationId;
-	list: Waiting[];
+	list: WaitingRequest[];
 };
 
 type PartnerFlow = {
@@ -142,15 +142,15 @@
 	readonly #clock = new FairClock<PartnerId>();
 	readonly #partners = new Map<PartnerId, PartnerFlow>();
 
-	override * listInOrder(): Iterable<Waiting> {
+	override * listInOrder(): Iterable<WaitingRequest> {
 		const partners = [...this.#partners.values()].filter(partner => partner.organisations.size > 0);
-		sortByStart(partners, partner => this.#clock.readStart(partner.id), partner => readFirst(partner));
+		sortByStartTag(partners, partner => this.#clock.readStartTag(partner.id), partner => findEarliestArrival(partner));
 		for (const partner of partners) {
 			yield * listPartner(partner);
 		}
 	}
 
-	override charge(waiting: Waiting, cost: number): Charge {
+	override charge(waiting: WaitingRequest, cost: number): Charge {
 		const charge = describeCharge(waiting, cost);
 		this.#clock.charge(charge.partner, cost, charge.share);
 		this.#findPartner(charge.partner).clock.charge(charge.organisation, cost, charge.weight);
@@ -168,7 +168,7 @@
 		}
 	}
 
-	protected override insert(waiting: Waiting): void {
+	protected override insert(waiting: WaitingRequest): void {
 		const partner = this.#findPartner(waiting.partner);
 		const id = waiting.request.organisation;
 		const flow = partner.organisations.get(id) ?? {id, list: []};
@@ -176,7 +176,7 @@
 		insertSorted(flow.list, waiting, other => other.order > waiting.order);
 	}
 
-	protected override extract(requestId: RequestId): Waiting | undefined {
+	protected override extract(requestId: RequestId): WaitingRequest | undefined {
 		for (const partner of this.#partners.values()) {
 			for (const flow of partner.organisations.values()) {
 				const index = flow.list.findIndex(waiting => waiting.request.requestId === requestId);
@@ -207,12 +207,12 @@
 	}
 }
 
-function * listPartner(partner: PartnerFlow): Iterable<Waiting> {
+function * listPartner(partner: PartnerFlow): Iterable<WaitingRequest> {
 	const flows = [...partner.organisations.values()];
-	sortByStart(flows, flow => partner.clock.readStart(flow.id), flow => flow.list[0].since);
+	sortByStartTag(flows, flow => partner.clock.readStartTag(flow.id), flow => flow.list[0].since);
 	// Heads first: the second of one organisation comes after the first of every other.
-	const longest = Math.max(...flows.map(flow => flow.list.length));
-	for (let rank = 0; rank < longest; rank++) {
+	const maxLength = Math.max(...flows.map(flow => flow.list.length));
+	for (let rank = 0; rank < maxLength; rank++) {
 		for (const flow of flows) {
 			if (rank < flow.list.length) {
 				yield flow.list[rank];
@@ -221,24 +221,24 @@
 	}
 }
 
-function sortByStart<Flow>(flows: Flow[], readStart: (flow: Flow) => number, readSince: (flow: Flow) => number): void {
-	const keyed = flows.map(flow => ({flow, start: readStart(flow), since: readSince(flow)}));
+function sortByStartTag<Flow>(flows: Flow[], readStartTag: (flow: Flow) => number, readArrival: (flow: Flow) => number): void {
+	const keyed = flows.map(flow => ({flow, start: readStartTag(flow), since: readArrival(flow)}));
 	keyed.sort((left, right) => left.start - right.start || left.since - right.since);
 	for (const [index, {flow}] of keyed.entries()) {
 		flows[index] = flow;
 	}
 }
 
-function readFirst(partner: PartnerFlow): number {
-	let first = Number.POSITIVE_INFINITY;
+function findEarliestArrival(partner: PartnerFlow): number {
+	let earliest = Number.POSITIVE_INFINITY;
 	for (const flow of partner.organisations.values()) {
-		first = Math.min(first, flow.list[0].since);
+		earliest = Math.min(earliest, flow.list[0].since);
 	}
 
-	return first;
+	return earliest;
 }
 
-function insertSorted(list: Waiting[], waiting: Waiting, isAfter: (other: Waiting) => boolean): void {
+function insertSorted(list: WaitingRequest[], waiting: WaitingRequest, isAfter: (other: WaitingRequest) => boolean): void {
 	let index = list.length;
 	while (index > 0 && isAfter(list[index - 1])) {
 		index--;
@@ -247,7 +247,7 @@
 	list.splice(index, 0, waiting);
 }
 
-function describeCharge(waiting: Waiting, cost: number): Charge {
+function describeCharge(waiting: WaitingRequest, cost: number): Charge {
 	return {
 		partner: waiting.partner, organisation: waiting.request.organisation, cost, weight: waiting.weight, share: waiting.share,
 	};
--- a/src/node/dispatch/reservation.ts
+++ b/src/node/dispatch/reservation.ts
@@ -26,44 +26,44 @@
 		readonly requestId: RequestId,
 		readonly server: ServerState,
 		readonly at: number,
-		readonly spare: number,
+		readonly spareTokens: number,
 	) {}
 
 	/** Whether another request on a server would delay the one that the place is kept for. */
-	isInTheWay(server: ServerState, request: AdmitRequest, candidate: Candidate, now: number): boolean {
+	isDelayedBy(server: ServerState, request: AdmitRequest, candidate: Candidate, now: number): boolean {
 		if (server.id !== this.server.id || request.requestId === this.requestId) {
 			return false;
 		}
 
-		return countTokens(request) > this.spare && now + estimateHold(server, request, candidate.cachedTokens) > this.at;
+		return countTokens(request) > this.spareTokens && now + estimateHoldTime(server, request, candidate.cachedTokens) > this.at;
 	}
 }
 
 /** Expected milliseconds for which a request holds its memory on a server. */
-export function estimateHold(server: ServerState, request: AdmitRequest, cachedTokens: number): number {
-	const reading = Math.max(0, request.promptTokens - cachedTokens) / server.prefillRate * 1000;
-	return reading + (request.outputTokens * server.tokenInterval);
+export function estimateHoldTime(server: ServerState, request: AdmitRequest, cachedTokens: number): number {
+	const prefillTime = Math.max(0, request.promptTokens - cachedTokens) / server.prefillRate * 1000;
+	return prefillTime + (request.outputTokens * server.tokenInterval);
 }
 
 /** Finds the server that will have room for a request first. */
-export function reservePlace(request: AdmitRequest, ledger: Ledger, now: number): Reservation | undefined {
+export function reserveServer(request: AdmitRequest, ledger: Ledger, now: number): Reservation | undefined {
 	let best: Reservation | undefined;
 	for (const server of ledger.listOpen()) {
 		if (request.excluded.includes(server.id) || server.capacity < countTokens(request)) {
 			continue;
 		}
 
-		const place = findRoom(request, server, ledger, now);
-		if (place !== undefined && (best === undefined || place.at < best.at)) {
-			best = place;
+		const reservation = findEarliestStart(request, server, ledger, now);
+		if (reservation !== undefined && (best === undefined || reservation.at < best.at)) {
+			best = reservation;
 		}
 	}
 
 	return best;
 }
 
-function findRoom(request: AdmitRequest, server: ServerState, ledger: Ledger, now: number): Reservation | undefined {
-	const ends = ledger.listServerGrants(server.id)
+function findEarliestStart(request: AdmitRequest, server: ServerState, ledger: Ledger, now: number): Reservation | undefined {
+	const releases = ledger.listServerGrants(server.id)
 		.map(held => ({at: Math.max(now, held.since + held.grant.expectedHold), tokens: held.grant.tokens}))
 		.sort((left, right) => left.at - right.at);
 	let free = ledger.countFree(server.id);
@@ -72,10 +72,10 @@
 		return new Reservation(request.requestId, server, now, free - needed);
 	}
 
-	for (const end of ends) {
-		free += end.tokens;
+	for (const nextRelease of releases) {
+		free += nextRelease.tokens;
 		if (free >= needed) {
-			return new Reservation(request.requestId, server, end.at, free - needed);
+			return new Reservation(request.requestId, server, nextRelease.at, free - needed);
 		}
 	}
 
--- a/src/node/dispatch/wait-predictor.ts
+++ b/src/node/dispatch/wait-predictor.ts
@@ -3,17 +3,17 @@
  *
  * Kept by engine priority: under overload short requests keep passing long ones, so
  * the memory that comes back says nothing of what a long one will get of it. Only
- * time in which something of the length waits counts: a quiet hour is no slow service.
+ * time in which something of the length waits counts: a quiet hour is no slow serviceRate.
  */
-import {findPriority} from './prefill-board.js';
+import {computePriority} from './prefill-estimator.js';
 
 /** Weight of the newest interval in the moving average. */
 const smoothing = 0.2;
 
 /** Interval over which a rate is taken, in milliseconds. */
-const interval = 1000;
+const rateInterval = 1000;
 
-type ServedRate = {
+type ServiceRate = {
 	/** Tokens a millisecond; undefined before the first interval has passed. */
 	rate: number | undefined;
 	tokens: number;
@@ -24,53 +24,53 @@
 
 /** Follows the rates at which waiting requests are given places. */
 export class WaitPredictor {
-	readonly #rates = new Map<number, ServedRate>();
+	readonly #rates = new Map<number, ServiceRate>();
 
 	/** Notes that a request begins to wait, at a monotonic time in milliseconds. */
 	recordWaiting(promptTokens: number, now: number): void {
-		const priority = findPriority(promptTokens);
-		const served = this.#rates.get(priority) ?? {
+		const priority = computePriority(promptTokens);
+		const serviceRate = this.#rates.get(priority) ?? {
 			rate: undefined, tokens: 0, since: now, waiting: 0,
 		};
-		this.#rates.set(priority, served);
-		if (served.waiting === 0) {
-			served.tokens = 0;
-			served.since = now;
+		this.#rates.set(priority, serviceRate);
+		if (serviceRate.waiting === 0) {
+			serviceRate.tokens = 0;
+			serviceRate.since = now;
 		}
 
-		served.waiting++;
+		serviceRate.waiting++;
 	}
 
 	/** Notes that a request waits no more. Tokens: of one that was given its place, 0 of one that left. */
 	recordDone(promptTokens: number, tokens: number, now: number): void {
-		const served = this.#rates.get(findPriority(promptTokens));
-		if (served === undefined) {
+		const serviceRate = this.#rates.get(computePriority(promptTokens));
+		if (serviceRate === undefined) {
 			return;
 		}
 
-		served.waiting--;
-		served.tokens += tokens;
-		const elapsed = now - served.since;
-		if (elapsed < interval) {
+		serviceRate.waiting--;
+		serviceRate.tokens += tokens;
+		const elapsed = now - serviceRate.since;
+		if (elapsed < rateInterval) {
 			return;
 		}
 
-		const rate = served.tokens / elapsed;
-		served.rate = served.rate === undefined ? rate : (served.rate * (1 - smoothing)) + (rate * smoothing);
-		served.tokens = 0;
-		served.since = now;
+		const rate = serviceRate.tokens / elapsed;
+		serviceRate.rate = serviceRate.rate === undefined ? rate : (serviceRate.rate * (1 - smoothing)) + (rate * smoothing);
+		serviceRate.tokens = 0;
+		serviceRate.since = now;
 	}
 
 	/** Milliseconds until this many tokens of waiting requests of a length have been served; `undefined` while nothing is known. */
 	predictWait(promptTokens: number, tokens: number, now: number): number | undefined {
-		const served = this.#rates.get(findPriority(promptTokens));
-		if (served?.rate === undefined || served.waiting === 0) {
+		const serviceRate = this.#rates.get(computePriority(promptTokens));
+		if (serviceRate?.rate === undefined || serviceRate.waiting === 0) {
 			return undefined;
 		}
 
 		// Where nothing has been served for long, the old rate is no longer true.
-		const silence = Math.max(interval, now - served.since);
-		const rate = Math.min(served.rate, Math.max(served.tokens, served.rate * interval) / silence);
+		const elapsed = Math.max(rateInterval, now - serviceRate.since);
+		const rate = Math.min(serviceRate.rate, Math.max(serviceRate.tokens, serviceRate.rate * rateInterval) / elapsed);
 		return tokens / rate;
 	}
 }
--- a/src/node/membership/gateway.ts
+++ b/src/node/membership/gateway.ts
@@ -43,21 +43,21 @@
 
 	override async admit(request: AdmitRequest, {pool, isStandIn}: AskedNode, signal: AbortSignal): Promise<Either<Failure, Grant>> {
 		const holder = this.#findHolder(pool);
-		const asked = isStandIn ? this.#parts.host.findStandIn(pool, holder)?.incarnation : holder;
-		if (asked === undefined) {
-			return Left(createNoDispatcher(pool));
+		const target = isStandIn ? this.#parts.host.findStandIn(pool, holder)?.incarnation : holder;
+		if (target === undefined) {
+			return Left(createNoDispatcherFailure(pool));
 		}
 
-		return asked === this.#parts.self
-			? this.admitHere(pool, request, signal)
-			: this.#admitThere(asked, pool, request, signal);
+		return target === this.#parts.self
+			? this.admitLocally(pool, request, signal)
+			: this.#admitRemotely(target, pool, request, signal);
 	}
 
 	/** Asks the dispatcher on this node; a withdrawn request leaves the queue. */
-	async admitHere(pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
+	async admitLocally(pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
 		const dispatcher = this.#parts.host.findDispatcher(pool);
 		if (dispatcher === undefined) {
-			return Left(createNoDispatcher(pool));
+			return Left(createNoDispatcherFailure(pool));
 		}
 
 		const withdraw = () => {
@@ -86,7 +86,7 @@
 		const standIn = this.#parts.host.findStandIn(heartbeat.pool, holder);
 		return standIn !== undefined && await this.#deliver(standIn.incarnation, heartbeat)
 			? Right(true as const)
-			: Left(createNoDispatcher(heartbeat.pool));
+			: Left(createNoDispatcherFailure(heartbeat.pool));
 	}
 
 	/** Takes a heartbeat for a dispatcher on this node; false when there is none. */
@@ -97,13 +97,13 @@
 		}
 
 		if (dispatcher.acceptHeartbeat(heartbeat)) {
-			this.#parts.reconciler.noteDisagreement(heartbeat.pool, heartbeat.entry);
+			this.#parts.reconciler.recordMismatch(heartbeat.pool, heartbeat.entry);
 		}
 
 		return true;
 	}
 
-	async #admitThere(holder: Incarnation, pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
+	async #admitRemotely(holder: Incarnation, pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
 		const url = readIncarnationUrl(holder);
 		const termChanged = this.#termChanged.signal;
 		const answer = await this.#parts.clients.ask(url, request.patience + admitMargin, async (client, timeout) => {
@@ -115,7 +115,7 @@
 			}
 		});
 		if (answer === undefined) {
-			return Left(createNoDispatcher(pool));
+			return Left(createNoDispatcherFailure(pool));
 		}
 
 		return 'grant' in answer ? Right(answer.grant) : Left(answer.failure);
@@ -137,6 +137,6 @@
 	}
 }
 
-function createNoDispatcher(pool: PoolId): Failure {
+function createNoDispatcherFailure(pool: PoolId): Failure {
 	return createFailure('no_dispatcher', `no node decides for ${pool} at present`);
 }
--- a/src/node/membership/second-opinion.ts
+++ b/src/node/membership/indirect-probe.ts
@@ -7,13 +7,13 @@
 const probeTimeout = 1000;
 
 /** Nodes asked for a second opinion. */
-const secondOpinions = 2;
+const proberCount = 2;
 
 /** What others say of a node: one reaches it, those that answer do not, nobody answers though others are registered, or there is nobody else. */
-export type Opinion = 'reached' | 'unreached' | 'unknown' | 'alone';
+export type PeerReachability = 'reached' | 'unreached' | 'unknown' | 'alone';
 
 /** Asks others about a node. */
-export class SecondOpinion {
+export class IndirectProbe {
 	readonly #members: Members;
 	readonly #clients: NodeClients;
 	readonly #self: Incarnation;
@@ -25,18 +25,18 @@
 	}
 
 	/** Whether others reach a node. A node that nobody answers is cut off itself, and knows nothing of anyone. */
-	async ask(peer: Member): Promise<Opinion> {
+	async probe(peer: Member): Promise<PeerReachability> {
 		const isOther = (member: Member) => member.incarnation !== this.#self && member.incarnation !== peer.incarnation;
 		const others = this.#members.listReady().filter(member => isOther(member));
-		const asked = orderByRendezvous(peer.incarnation, others, member => member.incarnation).slice(0, secondOpinions);
-		const answers = await Promise.all(asked.map(async member =>
+		const probers = orderByRendezvous(peer.incarnation, others, member => member.incarnation).slice(0, proberCount);
+		const answers = await Promise.all(probers.map(async member =>
 			this.#clients.ask(member.nodeUrl, probeTimeout, async (client, signal) => client.probe.query({url: peer.nodeUrl}, {signal}))));
-		const heard = answers.filter(answer => answer !== undefined);
-		if (heard.some(answer => answer.isReachable)) {
+		const received = answers.filter(answer => answer !== undefined);
+		if (received.some(answer => answer.isReachable)) {
 			return 'reached';
 		}
 
-		if (heard.length > 0) {
+		if (received.length > 0) {
 			return 'unreached';
 		}
 
--- a/src/node/membership/members.ts
+++ b/src/node/membership/members.ts
@@ -57,13 +57,13 @@
 	}
 
 	/** Notes a node's own word that it leaves. */
-	noteLeaving(incarnation: Incarnation): void {
+	recordLeaving(incarnation: Incarnation): void {
 		this.#leaving.add(incarnation);
 		this.#invalidate();
 	}
 
 	/** Notes whether a node answers pings. */
-	noteReachable(incarnation: Incarnation, isReachable: boolean): void {
+	recordReachability(incarnation: Incarnation, isReachable: boolean): void {
 		if (isReachable === !this.#suspected.has(incarnation)) {
 			return;
 		}
@@ -80,10 +80,10 @@
 	/** Forgets words about incarnations that are no longer registered. */
 	prune(): void {
 		const known = new Set(this.listAll().map(member => member.incarnation));
-		for (const notes of [this.#leaving, this.#suspected]) {
-			for (const incarnation of notes) {
+		for (const incarnations of [this.#leaving, this.#suspected]) {
+			for (const incarnation of incarnations) {
 				if (!known.has(incarnation)) {
-					notes.delete(incarnation);
+					incarnations.delete(incarnation);
 				}
 			}
 		}
--- a/src/node/membership/peer-monitor.ts
+++ b/src/node/membership/peer-monitor.ts
@@ -10,10 +10,10 @@
 } from '../../common/index.js';
 import type {NodeClients} from '../../rpc/index.js';
 import type {Member, Members} from './members.js';
-import {SecondOpinion} from './second-opinion.js';
+import {IndirectProbe} from './indirect-probe.js';
 
 /** Peers watched by each node. */
-export const watchedPeers = 3;
+export const watchedPeerCount = 3;
 
 /** Time between pings, in milliseconds. */
 export const pingInterval = 500;
@@ -21,7 +21,7 @@
 const pingTimeout = 400;
 
 /** Pings missed in a row before a second opinion is asked. */
-const missesAllowed = 2;
+const maxMissedPings = 2;
 
 /** What the monitor needs. */
 export type PeerMonitorParts = {
@@ -43,7 +43,7 @@
 	readonly #listHolders: () => Incarnation[];
 	#order: {version: number; others: Member[]} = {version: -1, others: []};
 	readonly #missed = new Map<Incarnation, number>();
-	readonly #opinion: SecondOpinion;
+	readonly #indirectProbe: IndirectProbe;
 
 	constructor(members: Members, clients: NodeClients, parts: PeerMonitorParts) {
 		super();
@@ -53,7 +53,7 @@
 		this.#logger = parts.logger;
 		this.#self = parts.self;
 		this.#listHolders = parts.listHolders;
-		this.#opinion = new SecondOpinion(members, clients, parts.self);
+		this.#indirectProbe = new IndirectProbe(members, clients, parts.self);
 	}
 
 	override async run(signal: AbortSignal): Promise<void> {
@@ -67,7 +67,7 @@
 	#choosePeers(): Member[] {
 		const holders = new Set(this.#listHolders());
 		const others = this.#orderOthers();
-		return [...others.slice(0, watchedPeers), ...others.slice(watchedPeers).filter(member => holders.has(member.incarnation))];
+		return [...others.slice(0, watchedPeerCount), ...others.slice(watchedPeerCount).filter(member => holders.has(member.incarnation))];
 	}
 
 	/** All others in rendezvous order, worked out once a change of the members. */
@@ -84,7 +84,7 @@
 		const answer = await this.#clients.ask(peer.nodeUrl, pingTimeout, async (client, signal) => client.ping.query(undefined, {signal}));
 		if (answer?.incarnation === peer.incarnation) {
 			this.#missed.delete(peer.incarnation);
-			this.#members.noteReachable(peer.incarnation, true);
+			this.#members.recordReachability(peer.incarnation, true);
 			return;
 		}
 
@@ -92,9 +92,9 @@
 		this.#missed.set(peer.incarnation, missed);
 		// Another incarnation at the address is proof; silence may be this node's own.
 		const isReplaced = answer !== undefined;
-		if (isReplaced || (missed > missesAllowed && await this.#opinion.ask(peer) !== 'reached')) {
+		if (isReplaced || (missed > maxMissedPings && await this.#indirectProbe.probe(peer) !== 'reached')) {
 			this.#logger.warn({event: 'peer_suspected', box: peer.box, missed}, 'a node does not answer');
-			this.#members.noteReachable(peer.incarnation, false);
+			this.#members.recordReachability(peer.incarnation, false);
 		}
 	}
 }
--- a/src/node/membership/pool-host.ts
+++ b/src/node/membership/pool-host.ts
@@ -15,7 +15,7 @@
 	Dispatcher, type Grant, type PoolDirectory, type ServerState,
 } from '../dispatch/index.js';
 import type {Member, Members} from './members.js';
-import {SecondOpinion} from './second-opinion.js';
+import {IndirectProbe} from './indirect-probe.js';
 import {ViewDirectory} from './view-directory.js';
 
 /** What a pool host needs. */
@@ -36,17 +36,17 @@
 const checkInterval = 100;
 
 /** Time allowed for nodes to say which grants they hold, in milliseconds. */
-const fillTimeout = 500;
+const collectTimeout = 500;
 
 /**
  * Time for which a term is not taken back from the node that took it, unless others say that it is gone, in milliseconds.
  *
  * It lives: it has written the term. Two nodes that did not reach each other took a pool from each other 131 times in 15 s without it.
  */
-const takenBackAfter = 20_000;
+const reclaimDelay = 20_000;
 
 /** What became of a write of a term. */
-type TermWrite = 'stored' | 'refused' | 'unreachable';
+type TermWriteResult = 'stored' | 'refused' | 'unreachable';
 
 /** Pause after a takeover that failed, in milliseconds. */
 const takeoverPause = 500;
@@ -61,8 +61,8 @@
 	#candidates = {version: -1, byPool: new Map<PoolId, Member[]>()};
 	readonly #pausedUntil = new Map<PoolId, number>();
 	/** Who took a term from this node, and until when it is left to that one. */
-	readonly #lostTo = new Map<PoolId, {holder: Incarnation; until: number}>();
-	readonly #opinion: SecondOpinion;
+	readonly #newHolders = new Map<PoolId, {holder: Incarnation; until: number}>();
+	readonly #indirectProbe: IndirectProbe;
 	/** Backend servers that do not answer. */
 	readonly #unreachable = new Set<string>();
 
@@ -70,7 +70,7 @@
 		super();
 		this.#parts = parts;
 		this.#directory = new ViewDirectory(parts.view, parts.logger);
-		this.#opinion = new SecondOpinion(parts.members, parts.clients, parts.self.incarnation);
+		this.#indirectProbe = new IndirectProbe(parts.members, parts.clients, parts.self.incarnation);
 		parts.view.addListener(kind => {
 			if (kind === 'BackendServer') {
 				this.#refreshServers();
@@ -113,7 +113,7 @@
 	}
 
 	/** Notes whether a backend server answers. */
-	noteServer(name: string, isReachable: boolean): void {
+	recordServerReachability(name: string, isReachable: boolean): void {
 		if (this.#unreachable.has(name) !== isReachable) {
 			return;
 		}
@@ -160,9 +160,9 @@
 			this.#candidates = {version: this.#parts.members.version, byPool: new Map()};
 		}
 
-		const known = this.#candidates.byPool.get(pool) ?? this.#orderCandidates(pool);
-		this.#candidates.byPool.set(pool, known);
-		return known;
+		const candidates = this.#candidates.byPool.get(pool) ?? this.#orderCandidates(pool);
+		this.#candidates.byPool.set(pool, candidates);
+		return candidates;
 	}
 
 	#orderCandidates(pool: PoolId): Member[] {
@@ -189,7 +189,7 @@
 			return;
 		}
 
-		if (record !== undefined && await this.#isLeftTo(pool, record.incarnation as Incarnation)) {
+		if (record !== undefined && await this.#isReclaimDelayed(pool, record.incarnation as Incarnation)) {
 			return;
 		}
 
@@ -205,18 +205,18 @@
 	}
 
 	/** Whether a pool is left to the node that took it from this one. */
-	async #isLeftTo(pool: PoolId, holder: Incarnation): Promise<boolean> {
-		const lost = this.#lostTo.get(pool);
-		if (lost?.holder !== holder || this.#parts.clock.readMonotonic() >= lost.until || this.#parts.members.isDropped(holder)) {
+	async #isReclaimDelayed(pool: PoolId, holder: Incarnation): Promise<boolean> {
+		const newHolder = this.#newHolders.get(pool);
+		if (newHolder?.holder !== holder || this.#parts.clock.readMonotonic() >= newHolder.until || this.#parts.members.isDropped(holder)) {
 			return false;
 		}
 
 		const member = this.#parts.members.listAll().find(({incarnation}) => incarnation === holder);
-		return member !== undefined && await this.#opinion.ask(member) !== 'unreached';
+		return member !== undefined && await this.#indirectProbe.probe(member) !== 'unreached';
 	}
 
 	/** Writes a term for a holder, and finds out whether it is stored. */
-	async #writeTerm(pool: PoolId, holder: Member, record: Entry<'DispatcherTerm'> | undefined): Promise<TermWrite> {
+	async #writeTerm(pool: PoolId, holder: Member, record: Entry<'DispatcherTerm'> | undefined): Promise<TermWriteResult> {
 		const spec = {holder: holder.box, incarnation: holder.incarnation, term: (record?.term ?? 0) + 1};
 		const written = await this.#parts.platform.writeObject({kind: 'DispatcherTerm', metadata: {name: pool}, spec}, record?.version ?? 0);
 		if (written.isRight()) {
@@ -284,7 +284,7 @@
 	/** Asks every registered node for the grants it holds. Those that do not answer in time are found through the engines later. */
 	async #collectGrants(pool: PoolId): Promise<Grant[]> {
 		const answers = await Promise.all(this.#parts.members.listAll().map(async member =>
-			this.#parts.clients.ask(member.nodeUrl, fillTimeout, async (client, signal) => client.listGrants.query({pool}, {signal}))));
+			this.#parts.clients.ask(member.nodeUrl, collectTimeout, async (client, signal) => client.listGrants.query({pool}, {signal}))));
 		return answers.flatMap(answer => answer ?? []);
 	}
 
@@ -311,7 +311,7 @@
 		for (const [pool, dispatcher] of this.#dispatchers) {
 			const record = this.#parts.view.find('DispatcherTerm', pool);
 			if (record !== undefined && record.term > dispatcher.term && record.incarnation !== this.#parts.self.incarnation) {
-				this.#lostTo.set(pool, {holder: record.incarnation as Incarnation, until: this.#parts.clock.readMonotonic() + takenBackAfter});
+				this.#newHolders.set(pool, {holder: record.incarnation as Incarnation, until: this.#parts.clock.readMonotonic() + reclaimDelay});
 				this.#endDispatcher(dispatcher);
 			}
 		}
--- a/src/node/membership/reconciler.ts
+++ b/src/node/membership/reconciler.ts
@@ -16,12 +16,12 @@
 import type {NodeClients} from '../../rpc/index.js';
 import type {FleetView} from '../config/index.js';
 import {
-	grantLifetime, grantMargin, type Dispatcher, type Grant,
+	grantLifetime, reclaimMargin, type Dispatcher, type Grant,
 } from '../dispatch/index.js';
-import {EntrySight} from './entry-sight.js';
+import {EntryChecker} from './entry-checker.js';
 import type {Members} from './members.js';
 import type {PoolHost} from './pool-host.js';
-import {SecondOpinion} from './second-opinion.js';
+import {IndirectProbe} from './indirect-probe.js';
 
 /** What the reconciler needs. */
 export type ReconcilerParts = {
@@ -36,92 +36,92 @@
 	self: Incarnation;
 };
 
-const interval = 1000;
+const reconcileInterval = 1000;
 
 /** How long unclaimed work may run before it is cancelled, in milliseconds. */
-export const unclaimedGrace = grantLifetime + grantMargin + 1000;
+export const unclaimedGrace = grantLifetime + reclaimMargin + 1000;
 
 /** Failed looks in a row before an engine is closed to new work. */
-const missesAllowed = 1;
+const maxMissedChecks = 1;
 
 /** A request that an engine holds. */
-type RunningWork = {requestId: RequestId; url: string};
+type RunningRequest = {requestId: RequestId; url: string};
 
 /** Reconciles the pools decided on this node. */
 export class Reconciler extends Child {
 	override readonly name = 'reconciler';
 	readonly #parts: ReconcilerParts;
-	readonly #sight: EntrySight;
+	readonly #entryChecker: EntryChecker;
 	/** Monotonic time at which unclaimed work was first seen. */
 	readonly #unclaimed = new Map<RequestId, number>();
 	readonly #missed = new Map<BackendServerId, number>();
-	readonly #disagreeing = new Set<string>();
+	readonly #mismatches = new Set<string>();
 	/** Entries that are not heard here and may live. */
-	readonly #unheard = new Set<Incarnation>();
+	readonly #unreachableEntries = new Set<Incarnation>();
 
 	constructor(parts: ReconcilerParts) {
 		super();
 		this.#parts = parts;
-		this.#sight = new EntrySight(parts.members, parts.clients, new SecondOpinion(parts.members, parts.clients, parts.self));
+		this.#entryChecker = new EntryChecker(parts.members, parts.clients, new IndirectProbe(parts.members, parts.clients, parts.self));
 	}
 
 	/** Notes that an entry and a dispatcher disagree on the grants held. */
-	noteDisagreement(pool: PoolId, entry: Incarnation): void {
-		this.#disagreeing.add(`${pool} ${entry}`);
+	recordMismatch(pool: PoolId, entry: Incarnation): void {
+		this.#mismatches.add(`${pool} ${entry}`);
 	}
 
 	override async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			await Promise.all(this.#parts.host.listDispatchers().map(async dispatcher => this.#reconcile(dispatcher)));
-			this.#forgetEnded();
-			await waitFor(this.#parts.clock, interval, signal);
+			this.#pruneUnclaimed();
+			await waitFor(this.#parts.clock, reconcileInterval, signal);
 		}
 	}
 
 	async #reconcile(dispatcher: Dispatcher): Promise<void> {
 		const service = dispatcher.pool.split('@', 1)[0] as ServiceName;
 		const isEngine = this.#parts.view.find('Service', service)?.type === 'engine';
-		await this.#settleDisagreements(dispatcher);
+		await this.#resolveMismatches(dispatcher);
 		dispatcher.prune();
 		const running = isEngine ? await this.#listRunning(service) : [];
-		await this.#settleOrphans(dispatcher, isEngine, running);
+		await this.#resolveOrphans(dispatcher, isEngine, running);
 		if (isEngine) {
 			await this.#cancelUnclaimed(dispatcher, running);
 		}
 	}
 
-	async #settleDisagreements(dispatcher: Dispatcher): Promise<void> {
+	async #resolveMismatches(dispatcher: Dispatcher): Promise<void> {
 		for (const member of this.#parts.members.listAll()) {
 			const key = `${dispatcher.pool} ${member.incarnation}`;
-			if (!this.#disagreeing.delete(key)) {
+			if (!this.#mismatches.delete(key)) {
 				continue;
 			}
 
-			const grants = await this.#parts.clients.ask(member.nodeUrl, interval, async (client, signal) => client.listGrants.query({pool: dispatcher.pool}, {signal}));
+			const grants = await this.#parts.clients.ask(member.nodeUrl, reconcileInterval, async (client, signal) => client.listGrants.query({pool: dispatcher.pool}, {signal}));
 			if (grants !== undefined) {
 				dispatcher.reconcileEntry(member.incarnation, grants);
 			}
 		}
 	}
 
-	async #settleOrphans(dispatcher: Dispatcher, isEngine: boolean, running: RunningWork[]): Promise<void> {
+	async #resolveOrphans(dispatcher: Dispatcher, isEngine: boolean, running: RunningRequest[]): Promise<void> {
 		const orphans = dispatcher.listOrphans();
 		const entries = [...new Set(orphans.map(grant => grant.entry))];
 		await Promise.all(entries.map(async entry => {
-			const state = await this.#sight.look(entry, dispatcher.pool);
-			if (state.kind === 'heard') {
-				this.#unheard.delete(entry);
+			const state = await this.#entryChecker.check(entry, dispatcher.pool);
+			if (state.kind === 'reachable') {
+				this.#unreachableEntries.delete(entry);
 				dispatcher.reconcileEntry(entry, state.grants);
 				return;
 			}
 
 			const grants = orphans.filter(grant => grant.entry === entry);
-			if (state.kind === 'unheard' && isEngine) {
-				this.#keepUnheard(dispatcher, entry, grants, running);
+			if (state.kind === 'unreachable' && isEngine) {
+				this.#reclaimFinished(dispatcher, entry, grants, running);
 				return;
 			}
 
-			this.#unheard.delete(entry);
+			this.#unreachableEntries.delete(entry);
 			for (const grant of grants) {
 				void this.#reclaimOrphan(dispatcher, grant, isEngine);
 			}
@@ -129,14 +129,14 @@
 	}
 
 	/** Grants of an entry whose word does not come through: only the engines say when their work has ended. */
-	#keepUnheard(dispatcher: Dispatcher, entry: Incarnation, grants: Grant[], running: RunningWork[]): void {
-		const ended = grants.filter(grant => this.#isAnswering(grant.backendServer) && running.every(work => work.requestId !== grant.requestId));
+	#reclaimFinished(dispatcher: Dispatcher, entry: Incarnation, grants: Grant[], running: RunningRequest[]): void {
+		const ended = grants.filter(grant => this.#isReachable(grant.backendServer) && running.every(work => work.requestId !== grant.requestId));
 		for (const {grantId} of ended) {
 			dispatcher.reclaim(grantId);
 		}
 
-		if (!this.#unheard.has(entry)) {
-			this.#unheard.add(entry);
+		if (!this.#unreachableEntries.has(entry)) {
+			this.#unreachableEntries.add(entry);
 			this.#parts.logger.warn({
 				event: 'entry_unheard', pool: dispatcher.pool, entry, grants: grants.length, ended: ended.length,
 			}, 'an entry that may live is not heard here; its work goes on');
@@ -155,46 +155,46 @@
 		}, 'memory of a silent entry was taken back');
 	}
 
-	#isAnswering(server: BackendServerId): boolean {
+	#isReachable(server: BackendServerId): boolean {
 		return !this.#missed.has(server);
 	}
 
 	/** What all engines that answer hold. */
-	async #listRunning(service: ServiceName): Promise<RunningWork[]> {
+	async #listRunning(service: ServiceName): Promise<RunningRequest[]> {
 		const lists = await Promise.all(this.#parts.view.listServers(service).map(async server => this.#checkEngine(server)));
 		return lists.flat();
 	}
 
-	async #checkEngine(server: {id: BackendServerId; url: string}): Promise<RunningWork[]> {
+	async #checkEngine(server: {id: BackendServerId; url: string}): Promise<RunningRequest[]> {
 		const running = await this.#parts.engines.listRunning(server.url);
 		return running.caseOf({
 			Left: () => {
 				const missed = (this.#missed.get(server.id) ?? 0) + 1;
 				this.#missed.set(server.id, missed);
-				this.#parts.host.noteServer(server.id, missed <= missesAllowed);
+				this.#parts.host.recordServerReachability(server.id, missed <= maxMissedChecks);
 				return [];
 			},
 			Right: requests => {
 				this.#missed.delete(server.id);
-				this.#parts.host.noteServer(server.id, true);
+				this.#parts.host.recordServerReachability(server.id, true);
 				return requests.map(requestId => ({requestId, url: server.url}));
 			},
 		});
 	}
 
 	/** Before anything is cancelled each entry is asked once more: a new dispatcher may not have reached the one that holds it. */
-	async #cancelUnclaimed(dispatcher: Dispatcher, running: RunningWork[]): Promise<void> {
+	async #cancelUnclaimed(dispatcher: Dispatcher, running: RunningRequest[]): Promise<void> {
 		const claimed = new Set(dispatcher.ledger.listGrants().map(held => held.grant.requestId));
 		const due = dispatcher.isProvisional ? [] : running.filter(work => this.#isOverdue(work.requestId, claimed));
 		if (due.length === 0) {
 			return;
 		}
 
-		const states = await this.#sight.lookAtAll(dispatcher.pool);
-		const grants = states.flatMap(state => state.kind === 'heard' ? state.grants : []);
+		const states = await this.#entryChecker.checkAll(dispatcher.pool);
+		const grants = states.flatMap(state => state.kind === 'reachable' ? state.grants : []);
 		const claimedNow = new Set(grants.map(grant => grant.requestId));
 		dispatcher.adoptGrants(grants.filter(grant => due.some(({requestId}) => requestId === grant.requestId)));
-		if (states.some(state => state.kind === 'unheard')) {
+		if (states.some(state => state.kind === 'unreachable')) {
 			return;
 		}
 
@@ -218,7 +218,7 @@
 	}
 
 	/** Work not seen for long has ended by itself. */
-	#forgetEnded(): void {
+	#pruneUnclaimed(): void {
 		const oldest = this.#parts.clock.readMonotonic() - (4 * unclaimedGrace);
 		for (const [requestId, since] of this.#unclaimed) {
 			if (since < oldest) {
--- a/src/node/membership/registration.ts
+++ b/src/node/membership/registration.ts
@@ -6,8 +6,8 @@
 import type {FleetView} from '../config/index.js';
 
 const checkInterval = 500;
-const firstBackoff = 200;
-const longestBackoff = 10_000;
+const initialBackoff = 200;
+const maxBackoff = 10_000;
 
 /** Registers one node under the name of its box. */
 export class Registration extends Child {
@@ -29,16 +29,16 @@
 
 	/** Compares with the view, which costs the platform nothing, and writes only what differs. */
 	override async run(signal: AbortSignal): Promise<void> {
-		let backoff = firstBackoff;
+		let backoff = initialBackoff;
 		while (!signal.aborted) {
 			if (this.#view.revision === 0 || this.#isStored() || await this.write()) {
-				backoff = firstBackoff;
+				backoff = initialBackoff;
 				await waitFor(this.#parts.clock, checkInterval, signal);
 				continue;
 			}
 
 			await waitFor(this.#parts.clock, backoff * (0.5 + (this.#parts.random() / 2)), signal);
-			backoff = Math.min(longestBackoff, backoff * 2);
+			backoff = Math.min(maxBackoff, backoff * 2);
 		}
 	}
 
--- a/src/node/membership/view-directory.ts
+++ b/src/node/membership/view-directory.ts
@@ -6,7 +6,7 @@
 	compilePolicy, defaultPolicy, formatPolicyProblem, type Policy, type PolicyProblem,
 } from '../../policy/index.js';
 import type {FleetView} from '../config/index.js';
-import {PoolDirectory, type OrganisationFacts} from '../dispatch/index.js';
+import {PoolDirectory, type OrganisationSettings} from '../dispatch/index.js';
 
 /** Looks into the fleet view. */
 export class ViewDirectory extends PoolDirectory {
@@ -25,7 +25,7 @@
 		});
 	}
 
-	override findOrganisation(organisation: OrganisationId): OrganisationFacts {
+	override findOrganisation(organisation: OrganisationId): OrganisationSettings {
 		const found = this.#view.find('Organisation', organisation);
 		return {
 			partner: (found?.partner ?? 'unknown') as PartnerId,
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -196,7 +196,7 @@
 	}
 
 	override async admit(pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<AdmitAnswer> {
-		const result = await this.#gateway.admitHere(pool, request, signal);
+		const result = await this.#gateway.admitLocally(pool, request, signal);
 		return result.caseOf<AdmitAnswer>({Left: failure => ({failure}), Right: grant => ({grant})});
 	}
 
@@ -221,7 +221,7 @@
 	}
 
 	override noteLeaving(incarnation: Incarnation): void {
-		this.members.noteLeaving(incarnation);
+		this.members.recordLeaving(incarnation);
 	}
 
 	#build(hasher: PrefixHasher): void {
@@ -301,7 +301,7 @@
 
 	/** Peers hear it from the node itself, since the platform may be down. */
 	async #tellLeaving(): Promise<void> {
-		this.members.noteLeaving(this.#incarnation);
+		this.members.recordLeaving(this.#incarnation);
 		const others = this.members.listAll().filter(member => member.incarnation !== this.#incarnation);
 		await Promise.all(others.map(async member =>
 			this.#clients.ask(member.nodeUrl, leaveNoticeTimeout, async (client, signal) => client.noteLeaving.mutate({incarnation: this.#incarnation}, {signal}))));
--- a/src/replay/replay.ts
+++ b/src/replay/replay.ts
@@ -5,7 +5,7 @@
 	type Incarnation, type OrganisationId, type PartnerId, type PoolId, type RequestId, type ServiceName,
 } from '../common/index.js';
 import {
-	Dispatcher, noPrefixes, PoolDirectory, type Grant, type OrganisationFacts, type ServerState,
+	Dispatcher, noPrefixes, PoolDirectory, type Grant, type OrganisationSettings, type ServerState,
 } from '../node/dispatch/index.js';
 import {compilePolicy, defaultPolicy, type Policy} from '../policy/index.js';
 import {createCountingIds} from './counting-ids.js';
@@ -113,7 +113,7 @@
 			this.#engines[index].die();
 		});
 		this.#clock.setTimer(at + detectionDelay, () => {
-			this.#dispatcher.forgetCache(formatServerId(index));
+			this.#dispatcher.invalidateCache(formatServerId(index));
 			this.#dispatcher.setServers(this.#listServers());
 		});
 		this.#clock.setTimer(at + backAfter, () => {
@@ -234,7 +234,7 @@
 		this.#policies = new Map(Object.entries(fleet.policies).map(([partner, programs]) => [partner, compilePolicy(programs).unsafeCoerce()]));
 	}
 
-	override findOrganisation(organisation: OrganisationId): OrganisationFacts {
+	override findOrganisation(organisation: OrganisationId): OrganisationSettings {
 		return {partner: organisation.split('-')[0] as PartnerId};
 	}
 
--- a/test/dispatch-properties.test.ts
+++ b/test/dispatch-properties.test.ts
@@ -7,7 +7,7 @@
 	type Incarnation, type OrganisationId, type PartnerId, type RequestId, type ServiceName,
 } from '../src/common/index.js';
 import {
-	Dispatcher, noPrefixes, PoolDirectory, type AdmitRequest, type Grant, type OrganisationFacts, type ServerState,
+	Dispatcher, noPrefixes, PoolDirectory, type AdmitRequest, type Grant, type OrganisationSettings, type ServerState,
 } from '../src/node/dispatch/index.js';
 import {defaultPolicy, type Policy} from '../src/policy/index.js';
 
@@ -16,12 +16,12 @@
 const seed = 20_261_202;
 const timeStep = 100;
 
-class Partners extends PoolDirectory {
+class PartnerDirectory extends PoolDirectory {
 	constructor(readonly shares: Record<string, number> = {}) {
 		super();
 	}
 
-	override findOrganisation(organisation: OrganisationId): OrganisationFacts {
+	override findOrganisation(organisation: OrganisationId): OrganisationSettings {
 		return {partner: organisation.split('-')[0] as PartnerId};
 	}
 
@@ -43,7 +43,7 @@
 type Settled = {requestId: string; kind: 'grant' | ErrorKind; at: number};
 
 /** A dispatcher with entries that keep their word, and a record of all that was answered. */
-class Bench {
+class Harness {
 	readonly clock = new VirtualClock();
 	readonly asked = new Map<string, {at: number; patience: number}>();
 	readonly settled: Settled[] = [];
@@ -55,7 +55,7 @@
 	#ids = 0;
 	#term = 1;
 
-	constructor(readonly servers: number, readonly directory: PoolDirectory = new Partners()) {
+	constructor(readonly servers: number, readonly directory: PoolDirectory = new PartnerDirectory()) {
 		this.dispatcher = this.#create();
 		this.dispatcher.open();
 	}
@@ -185,52 +185,52 @@
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('serverState' as const), openMask: fc.integer({min: 0, max: 7})})},
 );
 
-async function apply(bench: Bench, {...next}: Step): Promise<void> {
+async function apply(harness: Harness, {...next}: Step): Promise<void> {
 	switch (next.kind) {
 		case 'admit': {
-			bench.admit(next.tokens, next.patience, next.organisation, entries[next.entry]);
+			harness.admit(next.tokens, next.patience, next.organisation, entries[next.entry]);
 			break;
 		}
 
 		case 'release': {
-			bench.release(next.index);
+			harness.release(next.index);
 			break;
 		}
 
 		case 'advance': {
-			await bench.pass(next.by);
+			await harness.pass(next.by);
 			break;
 		}
 
 		case 'takeOver': {
-			bench.takeOver();
+			harness.takeOver();
 			break;
 		}
 
 		case 'killEntry': {
-			await bench.killEntry(entries[next.entry]);
+			await harness.killEntry(entries[next.entry]);
 			break;
 		}
 
 		case 'withdraw': {
-			bench.dispatcher.withdraw(`r${next.index}` as RequestId);
+			harness.dispatcher.withdraw(`r${next.index}` as RequestId);
 			break;
 		}
 
 		case 'serverState': {
-			bench.dispatcher.setServers(describeServers(3, index => (next.openMask >> index) % 2 === 1)); // eslint-disable-line no-bitwise
+			harness.dispatcher.setServers(describeServers(3, index => (next.openMask >> index) % 2 === 1)); // eslint-disable-line no-bitwise
 			break;
 		}
 	}
 }
 
-function checkLedger(bench: Bench): void {
+function checkLedger(harness: Harness): void {
 	for (const server of describeServers(3)) {
-		const held = bench.dispatcher.ledger.countHeld(server.id);
+		const held = harness.dispatcher.ledger.countHeld(server.id);
 		expect(held).toBeGreaterThanOrEqual(0);
 		expect(held).toBeLessThanOrEqual(capacity);
 		// What entries really hold, which a takeover that forgot a grant would let grow.
-		const used = [...bench.active.values()].filter(grant => grant.backendServer === server.id).reduce((sum, grant) => sum + grant.tokens, 0);
+		const used = [...harness.active.values()].filter(grant => grant.backendServer === server.id).reduce((sum, grant) => sum + grant.tokens, 0);
 		expect(used).toBeLessThanOrEqual(capacity);
 	}
 }
@@ -238,43 +238,43 @@
 test('under any order of events no engine is over its memory, and nothing is held when all has ended', async () => {
 	let steps = 0;
 	await fc.assert(fc.asyncProperty(fc.array(step, {minLength: 20, maxLength: 60}), async sequence => {
-		const bench = new Bench(3);
+		const harness = new Harness(3);
 		for (const next of sequence) {
-			await apply(bench, next);
-			await bench.settle();
-			checkLedger(bench);
+			await apply(harness, next);
+			await harness.settle();
+			checkLedger(harness);
 			steps++;
 		}
 
-		bench.dispatcher.setServers(describeServers(3));
-		await bench.settle();
-		while (bench.active.size > 0 || bench.dispatcher.queueLength > 0) {
-			bench.release(0);
-			bench.clock.advance(1000);
-			await bench.settle();
+		harness.dispatcher.setServers(describeServers(3));
+		await harness.settle();
+		while (harness.active.size > 0 || harness.dispatcher.queueLength > 0) {
+			harness.release(0);
+			harness.clock.advance(1000);
+			await harness.settle();
 		}
 
-		await bench.killEntry(entries[0]);
-		await bench.killEntry(entries[1]);
-		await bench.settle();
-		expect(bench.dispatcher.ledger.grantCount).toBe(0);
-		expect(describeServers(3).map(server => bench.dispatcher.ledger.countHeld(server.id))).toEqual([0, 0, 0]);
+		await harness.killEntry(entries[0]);
+		await harness.killEntry(entries[1]);
+		await harness.settle();
+		expect(harness.dispatcher.ledger.grantCount).toBe(0);
+		expect(describeServers(3).map(server => harness.dispatcher.ledger.countHeld(server.id))).toEqual([0, 0, 0]);
 	}), {seed, numRuns: 150});
 	expect(steps).toBeGreaterThan(5000);
 }, 60_000);
 
 test('under any order of events every request is answered once, within its patience', async () => {
 	await fc.assert(fc.asyncProperty(fc.array(step, {minLength: 20, maxLength: 60}), async sequence => {
-		const bench = new Bench(3);
+		const harness = new Harness(3);
 		for (const next of sequence) {
-			await apply(bench, next);
-			await bench.settle();
+			await apply(harness, next);
+			await harness.settle();
 		}
 
-		await bench.pass(30_000);
-		expect(bench.settled.map(entry => entry.requestId).sort()).toEqual([...bench.asked.keys()].sort());
-		for (const {requestId, at} of bench.settled) {
-			const {at: askedAt, patience} = bench.asked.get(requestId)!;
+		await harness.pass(30_000);
+		expect(harness.settled.map(entry => entry.requestId).sort()).toEqual([...harness.asked.keys()].sort());
+		for (const {requestId, at} of harness.settled) {
+			const {at: askedAt, patience} = harness.asked.get(requestId)!;
 			expect(at - askedAt).toBeLessThanOrEqual(patience + timeStep);
 		}
 	}), {seed, numRuns: 300});
@@ -282,13 +282,13 @@
 
 test('the same events give the same decisions', async () => {
 	const play = async (sequence: Step[]): Promise<unknown> => {
-		const bench = new Bench(3);
+		const harness = new Harness(3);
 		for (const next of sequence) {
-			await apply(bench, next);
-			await bench.settle();
+			await apply(harness, next);
+			await harness.settle();
 		}
 
-		return [bench.settled, [...bench.active.values()]];
+		return [harness.settled, [...harness.active.values()]];
 	};
 
 	await fc.assert(fc.asyncProperty(fc.array(step, {maxLength: 40}), async sequence => {
@@ -298,29 +298,29 @@
 
 /** Keeps both partners' queues full and returns the token-seconds that each held in each second. */
 async function holdBacklog(shares: Record<string, number>, sizes: {a: number; b: number}, seconds: number): Promise<Array<{a: number; b: number}>> {
-	const bench = new Bench(4, new Partners(shares));
+	const harness = new Harness(4, new PartnerDirectory(shares));
 	const held: Array<{a: number; b: number}> = [];
 	const ends = new Map<string, number>();
 	for (let tick = 0; tick < seconds * 10; tick++) {
 		// More than can end in one tick, so that neither partner is ever without work.
-		while (bench.waiting.a < 100 || bench.waiting.b < 100) {
-			bench.admit(sizes.a, 1_000_000, 'a-1');
-			bench.admit(sizes.b, 1_000_000, 'b-1');
+		while (harness.waiting.a < 100 || harness.waiting.b < 100) {
+			harness.admit(sizes.a, 1_000_000, 'a-1');
+			harness.admit(sizes.b, 1_000_000, 'b-1');
 		}
 
-		await bench.settle();
+		await harness.settle();
 		const sums = {a: 0, b: 0};
-		for (const grant of bench.active.values()) {
-			const end = ends.get(grant.grantId) ?? bench.clock.readMonotonic() + grant.expectedHold;
+		for (const grant of harness.active.values()) {
+			const end = ends.get(grant.grantId) ?? harness.clock.readMonotonic() + grant.expectedHold;
 			ends.set(grant.grantId, end);
 			sums[grant.organisation.startsWith('a') ? 'a' : 'b'] += grant.tokens / 10;
-			if (end <= bench.clock.readMonotonic()) {
-				bench.releaseGrant(grant);
+			if (end <= harness.clock.readMonotonic()) {
+				harness.releaseGrant(grant);
 			}
 		}
 
 		held.push(sums);
-		bench.clock.advance(100);
+		harness.clock.advance(100);
 	}
 
 	return held;
@@ -339,47 +339,47 @@
 }, 60_000);
 
 test('what a partner does not use is lent, and comes back within the longest request', async () => {
-	const bench = new Bench(2, new Partners({a: 1, b: 1}));
+	const harness = new Harness(2, new PartnerDirectory({a: 1, b: 1}));
 	for (let index = 0; index < 40; index++) {
-		bench.admit(200, 1_000_000, 'a-1');
+		harness.admit(200, 1_000_000, 'a-1');
 	}
 
-	await bench.settle();
-	expect([...bench.active.values()].every(grant => grant.organisation === 'a-1')).toBe(true);
-	expect(bench.active.size).toBe(10);
+	await harness.settle();
+	expect([...harness.active.values()].every(grant => grant.organisation === 'a-1')).toBe(true);
+	expect(harness.active.size).toBe(10);
 
 	for (let index = 0; index < 20; index++) {
-		bench.admit(200, 1_000_000, 'b-1');
+		harness.admit(200, 1_000_000, 'b-1');
 	}
 
 	for (let index = 0; index < 10; index++) {
-		bench.clock.advance(200);
-		bench.release(0);
-		await bench.settle();
+		harness.clock.advance(200);
+		harness.release(0);
+		await harness.settle();
 	}
 
-	const counts = [...bench.active.values()].filter(grant => grant.organisation === 'b-1').length;
+	const counts = [...harness.active.values()].filter(grant => grant.organisation === 'b-1').length;
 	expect(counts).toBeGreaterThanOrEqual(5);
 });
 
 test('a long request is not starved by short ones that keep coming', async () => {
-	const bench = new Bench(1);
-	bench.admit(500, 1_000_000, 'a-1');
-	bench.admit(1000, 60_000, 'a-2');
+	const harness = new Harness(1);
+	harness.admit(500, 1_000_000, 'a-1');
+	harness.admit(1000, 60_000, 'a-2');
 	for (let tick = 0; tick < 100; tick++) {
-		bench.admit(300, 60_000, 'b-1');
-		bench.clock.advance(100);
-		await bench.settle();
-		for (const grant of bench.active.values()) {
-			if (grant.tokens < 1000 && bench.clock.readMonotonic() % 500 === 0) {
-				bench.releaseGrant(grant);
+		harness.admit(300, 60_000, 'b-1');
+		harness.clock.advance(100);
+		await harness.settle();
+		for (const grant of harness.active.values()) {
+			if (grant.tokens < 1000 && harness.clock.readMonotonic() % 500 === 0) {
+				harness.releaseGrant(grant);
 			}
 		}
 
-		if ([...bench.active.values()].some(grant => grant.tokens === 1000)) {
+		if ([...harness.active.values()].some(grant => grant.tokens === 1000)) {
 			break;
 		}
 	}
 
-	expect([...bench.active.values()].some(grant => grant.tokens === 1000)).toBe(true);
+	expect([...harness.active.values()].some(grant => grant.tokens === 1000)).toBe(true);
 });
--- a/test/follow-configuration.test.ts
+++ b/test/follow-configuration.test.ts
@@ -118,10 +118,10 @@
 	view.applyEvent(modified(node('a', 'leaving', 20)));
 	view.applyEvent(modified(make({kind: 'LiveBox', metadata: {name: 'b'}, spec: {state: 'leaving'}}, 21)));
 	view.applyEvent({type: 'DELETED', object: make({kind: 'LiveBox', metadata: {name: 'c'}, spec: {state: 'live'}}, 22)});
-	members.noteLeaving('d.life' as Incarnation);
-	members.noteReachable('e.life' as Incarnation, false);
+	members.recordLeaving('d.life' as Incarnation);
+	members.recordReachability('e.life' as Incarnation, false);
 	expect(listReady()).toBe('');
-	members.noteReachable('e.life' as Incarnation, true);
+	members.recordReachability('e.life' as Incarnation, true);
 	expect(listReady()).toBe('e');
 	expect([members.isDropped('a.life' as Incarnation), members.isDropped('c.life' as Incarnation), members.isDropped('a.earlier' as Incarnation)]).toEqual([false, true, true]);
 });
--- a/test/hold-grants.test.ts
+++ b/test/hold-grants.test.ts
@@ -76,12 +76,12 @@
 });
 
 test('holder and stand-in are asked in turn until one decides, each ask with a time of its own', async () => {
-	const nobody = async () => {
+	const answerNoDispatcher = async () => {
 		await waitFor(clock, 1500);
 		return Left(createFailure('no_dispatcher', 'nobody'));
 	};
 
-	const gateway = new ScriptedGateway([nobody, nobody, nobody, async () => Right(makeGrant('found'))]);
+	const gateway = new ScriptedGateway([answerNoDispatcher, answerNoDispatcher, answerNoDispatcher, async () => Right(makeGrant('found'))]);
 	const {grantId} = await obtain(gateway);
 	expect(grantId).toBe('found');
 	expect(gateway.asked).toEqual(['holder', 'stand-in', 'holder', 'stand-in']);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -3,7 +3,7 @@
 	BackendServerId, Incarnation, OrganisationId, RequestId, ServiceName,
 } from '../src/common/index.js';
 import {
-	FirstTokenPlacement, Ledger, noPrefixes, PrefillBoard, PrefixIndex, RateLimiter, reservePlace, type AdmitRequest, type PoolState, type ServerState,
+	FirstTokenPlacement, Ledger, noPrefixes, PrefillEstimator, PrefixIndex, RateLimiter, reserveServer, type AdmitRequest, type PoolState, type ServerState,
 } from '../src/node/dispatch/index.js';
 
 function describeServer(index: number): ServerState {
@@ -18,7 +18,7 @@
 	const ledger = new Ledger();
 	ledger.setServers(servers);
 	return {
-		ledger, board: new PrefillBoard(), prefixes: new PrefixIndex(), reservation: undefined, now: 0,
+		ledger, prefillEstimator: new PrefillEstimator(), prefixes: new PrefixIndex(), reservation: undefined, now: 0,
 	};
 }
 
@@ -43,15 +43,15 @@
 
 test('a short prompt passes an engine that reads a long one', () => {
 	const state = createState();
-	state.board.recordSent(servers[0], 200_000, 0, 0);
+	state.prefillEstimator.recordSent(servers[0], 200_000, 0, 0);
 	expect(choose(state, describeRequest(2000))).toBe('engine-1');
 });
 
 test('a short prompt goes to an engine that reads a long one rather than wait behind many short ones', () => {
 	const state = createState();
-	state.board.recordSent(servers[0], 200_000, 0, 0);
+	state.prefillEstimator.recordSent(servers[0], 200_000, 0, 0);
 	for (let index = 0; index < 10; index++) {
-		state.board.recordSent(servers[1], 4000, 0, 0);
+		state.prefillEstimator.recordSent(servers[1], 4000, 0, 0);
 	}
 
 	expect(choose(state, describeRequest(2000))).toBe('engine-0');
@@ -65,9 +65,9 @@
 	expect(choose(state, request)).toBe('engine-1');
 
 	// 4000 cached tokens save 200 ms of reading: a backlog of 160 ms is worth it, one of 240 ms is not.
-	state.board.recordSent(servers[1], 3200, 0, 0);
+	state.prefillEstimator.recordSent(servers[1], 3200, 0, 0);
 	expect(choose(state, request)).toBe('engine-1');
-	state.board.recordSent(servers[1], 1600, 0, 0);
+	state.prefillEstimator.recordSent(servers[1], 1600, 0, 0);
 	expect(choose(state, request)).toBe('engine-0');
 });
 
@@ -77,7 +77,7 @@
 	index.recordSent(servers[0].id, 1000, ['a']);
 	index.recordSent(servers[1].id, 1000, ['a']);
 	expect(index.findCached(prefixes)).toEqual(new Map([['engine-0', 500], ['engine-1', 500]]));
-	index.forget(servers[0].id);
+	index.removeServer(servers[0].id);
 	index.recordSent(servers[1].id, 460_000, []);
 	expect(index.findCached(prefixes)).toEqual(new Map());
 });
@@ -85,7 +85,7 @@
 test('a server reads one long prompt at a time', () => {
 	const state = createState();
 	for (const server of servers) {
-		state.board.recordSent(server, 100_000, 0, 0);
+		state.prefillEstimator.recordSent(server, 100_000, 0, 0);
 	}
 
 	expect(choose(state, describeRequest(50_000))).toBeUndefined();
@@ -94,10 +94,10 @@
 
 test('an engine that is faster than declared is found out when its work ends', () => {
 	const state = createState();
-	const first = state.board.recordSent(servers[0], 1_000_000, 0, 0);
-	state.board.recordSent(servers[1], 1_000_000, 0, 0);
+	const first = state.prefillEstimator.recordSent(servers[0], 1_000_000, 0, 0);
+	state.prefillEstimator.recordSent(servers[1], 1_000_000, 0, 0);
 	expect(choose({...state, now: 1000}, describeRequest(50_000))).toBeUndefined();
-	state.board.recordDone(first, 1000);
+	state.prefillEstimator.recordDone(first, 1000);
 	expect(choose({...state, now: 1000}, describeRequest(50_000))).toBe('engine-0');
 });
 
@@ -122,12 +122,12 @@
 
 	hold(0, 300_000, 20_000);
 	hold(1, 400_000, 9000);
-	const reservation = reservePlace(describeRequest(250_000), state.ledger, 0)!;
+	const reservation = reserveServer(describeRequest(250_000), state.ledger, 0)!;
 	expect([reservation.server.id, reservation.at]).toEqual(['engine-1', 9000]);
-	const isInTheWay = (tokens: number) => reservation.isInTheWay(servers[1], describeRequest(tokens, {requestId: 'other' as RequestId}), {cachedTokens: 0, freeTokens: 50_000}, 0);
-	expect(isInTheWay(40_000)).toBe(false);
-	expect(isInTheWay(280_000)).toBe(true);
-	expect(reservation.isInTheWay(servers[0], describeRequest(280_000), {cachedTokens: 0, freeTokens: 0}, 0)).toBe(false);
+	const isDelayedBy = (tokens: number) => reservation.isDelayedBy(servers[1], describeRequest(tokens, {requestId: 'other' as RequestId}), {cachedTokens: 0, freeTokens: 50_000}, 0);
+	expect(isDelayedBy(40_000)).toBe(false);
+	expect(isDelayedBy(280_000)).toBe(true);
+	expect(reservation.isDelayedBy(servers[0], describeRequest(280_000), {cachedTokens: 0, freeTokens: 0}, 0)).toBe(false);
 });
 
 test('a rate may burst by a minute\'s worth and tells when to come back', () => {
