--- a/src/node/dispatch/admission-rules.ts
+++ b/src/node/dispatch/admission-rules.ts
@@ -1,4 +1,4 @@
-/** The rules by which a request is refused whatever waits: the pool's memory, the partner's policy, and rates. Pure. */
+/** Admission rules that do not depend on the queue: pool memory, partner policy and rate limits. Pure. */
 import {
 	createFailure, type Clock, type Failure, type OrganisationId, type PartnerId, type PoolId,
 } from '../../common/index.js';
@@ -8,7 +8,7 @@
 import {countTokens, type AdmitRequest} from './messages.js';
 import {RateLimiter} from './rate-limiter.js';
 
-/** What the rules look at. */
+/** Dependencies of the admission rules. */
 export type AdmissionParts = {
 	pool: PoolId;
 	clock: Clock;
@@ -18,7 +18,7 @@
 	countWaiting: () => number;
 };
 
-/** Refuses what must not or can never run. */
+/** Refuses requests that are not allowed to run, or can never fit. */
 export class AdmissionRules {
 	readonly #parts: AdmissionParts;
 	readonly #requestRates = new RateLimiter<OrganisationId>();
@@ -28,19 +28,19 @@
 		this.#parts = parts;
 	}
 
-	/** Says why a request is refused; undefined when it is not. Counts it against its organisation's rates. */
+	/** Returns the reason for which a request is refused, if any. Counts it against the rate limits of its organisation. */
 	findRefusal(request: AdmitRequest, partner: PartnerId): Failure | undefined {
 		return this.#findPoolRefusal(request) ?? this.#findPolicyRefusal(request, partner) ?? this.#findRateRefusal(request);
 	}
 
-	/** Whether the organisation holds as much as its partner's policy lets it. */
+	/** Whether the request would exceed the tokens that the partner's policy lets its organisation hold. */
 	isOverLimit(request: AdmitRequest, partner: PartnerId): boolean {
 		const policy = this.#parts.directory.findPolicy(partner);
 		const limit = policy.evaluateLimit(this.describeContext(request));
 		return this.#parts.ledger.readOrganisation(request.organisation).tokens + countTokens(request) > limit;
 	}
 
-	/** What a policy sees of a request now. */
+	/** Describes a request and the current state for the evaluation of a policy. */
 	describeContext(request: AdmitRequest): PolicyContext {
 		const account = this.#parts.ledger.readOrganisation(request.organisation);
 		const now = this.#parts.clock.now();
@@ -54,7 +54,7 @@
 		};
 	}
 
-	/** Forgets organisations whose rates are whole again. */
+	/** Removes organisations whose full burst is available again. */
 	prune(): void {
 		const now = this.#parts.clock.readMonotonic();
 		this.#requestRates.prune(now);
@@ -76,7 +76,7 @@
 		}
 
 		return open.every(server => request.excluded.includes(server.id))
-			? createFailure('backend_busy', `every backend server of ${this.#parts.pool} has just failed to take this request`)
+			? createFailure('backend_busy', `every backend server of ${this.#parts.pool} has just failed to run this request`)
 			: undefined;
 	}
 
@@ -84,7 +84,7 @@
 		const policy = this.#parts.directory.findPolicy(partner);
 		const context = this.describeContext(request);
 		if (!policy.evaluateAdmit(context)) {
-			return createFailure('policy_refused', `the policy of ${partner} does not take this request`);
+			return createFailure('policy_refused', `the policy of ${partner} does not admit this request`);
 		}
 
 		return countTokens(request) > policy.evaluateLimit(context)
@@ -102,6 +102,6 @@
 		const wait = Math.max(tokenWait, requestWait);
 		return wait === 0
 			? undefined
-			: createFailure('rate_limited', `${request.organisation} sends more ${tokenWait > 0 ? 'tokens' : 'requests'} a minute than it may`, {retryAfterSeconds: Math.ceil(wait / 1000)});
+			: createFailure('rate_limited', `${request.organisation} exceeds its limit of ${tokenWait > 0 ? 'tokens' : 'requests'} per minute`, {retryAfterSeconds: Math.ceil(wait / 1000)});
 	}
 }
--- a/src/node/dispatch/decision-log.ts
+++ b/src/node/dispatch/decision-log.ts
@@ -1,11 +1,11 @@
-/** One log line and the metrics for each decision of a dispatcher. */
+/** Writes one log line and the metrics for each decision of a dispatcher. */
 import type {
 	BackendServerId, Failure, Logger, Metrics, PoolId,
 } from '../../common/index.js';
 import {countTokens, type AdmitRequest} from './messages.js';
 import type {Placement} from './placement.js';
 
-/** Where decisions are told. */
+/** Dependencies of a decision log. */
 export type DecisionLogParts = {
 	pool: PoolId;
 	term: number;
@@ -13,7 +13,7 @@
 	metrics: Metrics;
 };
 
-/** Tells decisions. Prompts never come near it: a dispatcher knows only their lengths and hashes. */
+/** Logs decisions. A dispatcher knows only the lengths and hashes of prompts, so none can reach the log. */
 export class DecisionLog {
 	readonly #parts: DecisionLogParts;
 
@@ -21,7 +21,7 @@
 		this.#parts = parts;
 	}
 
-	/** A request was given its place after a wait in milliseconds. */
+	/** Logs the placement of a request; `waited` is in milliseconds. */
 	logPlacement(request: AdmitRequest, placement: Placement, choice: BackendServerId, details: {waited: number; openCount: number}): void {
 		this.#parts.metrics.recordTiming('queue.wait', details.waited, {pool: this.#parts.pool});
 		if (!this.#parts.logger.isLevelEnabled('info')) {
@@ -42,7 +42,7 @@
 		}, 'request placed');
 	}
 
-	/** A request was refused. */
+	/** Logs the refusal of a request. */
 	logRefusal(request: AdmitRequest, failure: Failure): void {
 		this.#parts.metrics.incrementCounter('refusals', {pool: this.#parts.pool, kind: failure.kind});
 		this.#parts.logger.info({
--- a/src/node/dispatch/dispatcher.ts
+++ b/src/node/dispatch/dispatcher.ts
@@ -1,8 +1,7 @@
 /**
- * The dispatcher of one pool: admits, queues and places its requests.
+ * The dispatcher of one pool: admits its requests, queues them and assigns them to backend servers. Does no I/O.
  *
- * Pure but for the clock and the log: it does no I/O. After a takeover it is
- * filled by `adoptGrants` and opened by `open`; before that requests wait.
+ * After a takeover, `adoptGrants` restores the outstanding grants and `open` starts granting; until then requests wait.
  */
 import {type Either, Left, Right} from 'purify-ts';
 import {
@@ -28,21 +27,21 @@
 import {estimateHoldTime, reserveServer, type Reservation} from './reservation.js';
 import {WaitPredictor} from './wait-predictor.js';
 
-/** Waiting requests tried in one look at the queue: one that cannot be placed is behind many that cannot. */
+/** Maximum number of waiting requests tried per scan: a request behind that many unplaceable ones rarely fits either. */
 const maxPlacementAttempts = 64;
 
-/** A predicted wait must pass the bound by this factor: a refusal of what would have fitted is worse than a late answer. */
+/** A predicted wait must exceed the bound by this factor: refusing a request that would have fitted is worse than a late answer. */
 const predictionTolerance = 1.5;
 
-/** How long a request waits while no backend server takes new work: long enough for one that restarts, in milliseconds. */
+/** Maximum wait while no backend server accepts new work, in milliseconds: long enough for a restart. */
 const emptyPoolTimeout = 5000;
 
-/** What a dispatcher needs from its surroundings. */
+/** Dependencies and options of a dispatcher. */
 export type DispatcherParts = {
 	pool: PoolId;
 	term: number;
 	/**
-	 * Whether it stands in for a holder without a term of its own.
+	 * Whether it replaces an unreachable term holder without a term of its own.
 	 *
 	 * @default false
 	 */
@@ -53,42 +52,42 @@
 	metrics: Metrics;
 	directory: PoolDirectory;
 	/**
-	 * Chooses servers.
+	 * Chooses the backend server of a request.
 	 *
 	 * @default FirstTokenPlacement
 	 */
 	placement?: PlacementPolicy;
 	/**
-	 * Orders what waits.
+	 * Orders the waiting requests.
 	 *
 	 * @default FairQueue
 	 */
 	queue?: RequestQueue;
 	/**
-	 * Whether a place is kept for the head of the queue.
+	 * Whether memory is reserved for the head of the queue.
 	 *
 	 * @default true
 	 */
 	usesReservations?: boolean;
 	/**
-	 * Whether engines are told to read short prompts first.
+	 * Whether requests carry a priority that makes engines prefill short prompts first.
 	 *
 	 * @default true
 	 */
 	usesPriorities?: boolean;
 	/**
-	 * Whether a request is refused at once when its predicted wait passes its bound.
+	 * Whether a request is refused at once when its predicted wait exceeds its bound.
 	 *
 	 * @default true
 	 */
 	refusesEarly?: boolean;
 };
 
-/** Decides for one pool under one term. */
+/** Schedules the requests of one pool during one term. */
 export class Dispatcher {
 	readonly pool: PoolId;
 	readonly term: number;
-	/** Whether it decides without a term; it must not cancel what it does not know. */
+	/** Whether it runs without a term; it must not cancel work that it has no grant for. */
 	readonly isProvisional: boolean;
 	readonly #parts: DispatcherParts;
 	readonly #placement: PlacementPolicy;
@@ -115,7 +114,7 @@
 		this.#log = new DecisionLog(parts);
 	}
 
-	/** Grants that are out, and the memory they hold. */
+	/** Outstanding grants and the memory they hold. */
 	get ledger(): Ledger {
 		return this.#grants.ledger;
 	}
@@ -125,14 +124,14 @@
 		return this.#queue.size;
 	}
 
-	/** Starts granting, once the ledger is filled. */
+	/** Starts granting, once the ledger is restored. */
 	open(): void {
 		this.#isOpen = true;
 		this.#serveQueue();
 		this.#watchEmptyPool();
 	}
 
-	/** Stops for good: requests that wait are answered with the failure and nothing more is granted. */
+	/** Stops granting permanently; waiting requests resolve with the failure. */
 	close(failure: Failure): void {
 		this.#closeFailure = failure;
 		this.#emptyTimer?.cancel();
@@ -141,24 +140,24 @@
 		}
 	}
 
-	/** Replaces the backend servers and places what now fits. */
+	/** Replaces the set of backend servers and places the requests that now fit. */
 	setServers(servers: Iterable<ServerState>): void {
 		this.ledger.setServers(servers);
 		this.#serveQueue();
 		this.#watchEmptyPool();
 	}
 
-	/** Forgets what a backend server had cached: it was restarted. */
+	/** Discards the prefixes assumed to be cached on a backend server that was restarted. */
 	invalidateCache(server: BackendServerId): void {
 		this.#prefixes.removeServer(server);
 	}
 
-	/** Takes over grants that another dispatcher gave. */
+	/** Adds grants issued by an earlier dispatcher of the pool. */
 	adoptGrants(grants: Grant[]): void {
 		this.#grants.adopt(grants);
 	}
 
-	/** Asks for a place; resolves with a grant, or with a failure no later than the request's patience allows. */
+	/** Requests a grant; resolves with it, or with a failure once the request's `patience` has passed at the latest. */
 	async admit(request: AdmitRequest): Promise<Either<Failure, Grant>> {
 		const {partner} = this.#parts.directory.findOrganisation(request.organisation);
 		const refusal = this.#closeFailure ?? (this.#isOpen ? this.#rules.findRefusal(request, partner) : undefined);
@@ -172,7 +171,7 @@
 				this.#expire(request.requestId);
 			});
 			const waiting = this.#createWaiting(request, partner, timer, resolve);
-			// What waits already could not be placed, and a newcomer gives it no room.
+			// Only the new request needs to be tried: those waiting did not fit, and no memory was freed since.
 			const isPlaced = this.#isOpen && this.#canBypassQueue() && this.#tryPlace(waiting);
 			if (!isPlaced) {
 				this.#enqueue(waiting);
@@ -180,7 +179,7 @@
 		});
 	}
 
-	/** Takes a waiting request out of the queue: its caller is gone. */
+	/** Removes a waiting request whose caller has disconnected. */
 	withdraw(requestId: RequestId): void {
 		const waiting = this.#removeFromQueue(requestId, 0);
 		if (waiting !== undefined) {
@@ -189,16 +188,16 @@
 		}
 	}
 
-	/** Takes back a grant that did not reach its entry, or whose work is known to have ended. */
+	/** Releases a grant that did not reach its entry node, or whose work is known to have ended. */
 	reclaim(grantId: GrantId): void {
 		this.#grants.release([grantId]);
 		this.#serveQueue();
 	}
 
 	/**
-	 * Takes an entry's heartbeat: frees what it released.
+	 * Handles the heartbeat of an entry node: frees the grants that it released.
 	 *
-	 * Returns whether the two disagree on how many grants the entry holds.
+	 * Returns whether the ledger and the entry node differ in the number of grants held.
 	 */
 	acceptHeartbeat(heartbeat: Heartbeat): boolean {
 		this.#grants.recordHeartbeat(heartbeat.entry);
@@ -207,18 +206,18 @@
 		return this.ledger.listGrants(heartbeat.entry).length !== heartbeat.activeCount;
 	}
 
-	/** Brings the ledger in step with the full list of an entry's grants. Young grants may still be on their way and stay. */
+	/** Updates the ledger from the full list of an entry node's grants. Recent grants may still be in transit and are kept. */
 	reconcileEntry(entry: Incarnation, active: Grant[]): void {
 		this.#grants.reconcile(entry, active);
 		this.#serveQueue();
 	}
 
-	/** Lists the grants of entries that have been silent for too long; their work must be cancelled, then reclaimed. */
+	/** Lists the grants of entry nodes whose heartbeats have timed out; their work must be cancelled, then reclaimed. */
 	listOrphans(): Grant[] {
 		return this.#grants.listOrphans();
 	}
 
-	/** Forgets what says nothing any more; call once in a while. */
+	/** Removes expired state; call periodically. */
 	prune(): void {
 		this.#queue.prune();
 		this.#rules.prune();
@@ -255,7 +254,7 @@
 		this.#watchEmptyPool();
 	}
 
-	/** Requests of another length are served at a rate of their own, so only those of its own length are ahead of a request. */
+	/** Each prompt length class is served at its own rate, so only requests of the same class count as ahead. */
 	#predictOverload(request: AdmitRequest): Failure | undefined {
 		if (this.#queue.size === 0 || this.#parts.refusesEarly === false) {
 			return undefined;
@@ -273,10 +272,10 @@
 		}
 
 		const retryAfterSeconds = Math.max(1, Math.ceil((wait - request.patience) / 1000));
-		return createFailure('overloaded', `the predicted wait of ${Math.round(wait)} ms passes the time bound`, {retryAfterSeconds});
+		return createFailure('overloaded', `the predicted wait of ${Math.round(wait)} ms exceeds the time bound`, {retryAfterSeconds});
 	}
 
-	/** A newcomer is tried at once while the queue's head has its place kept: it then can take nothing away from it. */
+	/** A new request may be placed ahead of the queue while the head holds a reservation, since it then cannot delay the head. */
 	#canBypassQueue(): boolean {
 		return this.#queue.size === 0 || this.#reservation !== undefined || this.#parts.usesReservations === false;
 	}
@@ -297,10 +296,10 @@
 					break;
 				}
 
-				// Most that waits is larger than all that is free: looking at every server for it would hold the loop for milliseconds.
+				// Most waiting requests fit on no server; checking every server for each would block the event loop for milliseconds.
 				if (countTokens(waiting.request) <= largestFree && this.#tryPlace(waiting)) {
 					this.#removeFromQueue(waiting.request.requestId, countTokens(waiting.request));
-					// A placement changes whose turn it is.
+					// A placement changes the fair-queueing order.
 					mustRescan = true;
 					break;
 				}
@@ -317,7 +316,7 @@
 		}
 	}
 
-	/** Keeps a place for the first request that found none. */
+	/** Reserves memory for the first request that could not be placed. */
 	#reserveFor(waiting: WaitingRequest): void {
 		if (this.#reservation === undefined && this.#parts.usesReservations !== false && !this.#rules.isOverLimit(waiting.request, waiting.partner)) {
 			this.#reservation = reserveServer(waiting.request, this.ledger, this.#parts.clock.readMonotonic());
@@ -387,7 +386,7 @@
 		this.#serveQueue();
 	}
 
-	/** Takes a request out of the queue; `servedTokens` are 0 unless it has been given its place. */
+	/** Removes a request from the queue; `servedTokens` is 0 unless it was granted. */
 	#removeFromQueue(requestId: RequestId, servedTokens: number): WaitingRequest | undefined {
 		const waiting = this.#queue.remove(requestId);
 		if (waiting !== undefined) {
@@ -397,7 +396,7 @@
 		return waiting;
 	}
 
-	/** Gives up at once on what waits once no backend server has been open for a while: the caller can come back, but must know. */
+	/** Fails all waiting requests when no backend server has been open for a while, so that callers can retry elsewhere. */
 	#watchEmptyPool(): void {
 		if (!this.#isOpen || this.ledger.listOpen().length > 0 || this.#emptyTimer !== undefined) {
 			return;
--- a/src/node/dispatch/fair-clock.ts
+++ b/src/node/dispatch/fair-clock.ts
@@ -1,27 +1,26 @@
 /**
- * Start-time fair queueing (Goyal, Vin, Cheng, 1996) over flows with weights. Pure.
+ * Start-time fair queueing (Goyal, Vin, Cheng, 1996) over weighted flows. Pure.
  *
- * Each flow has a finish tag: the virtual time at which what it has been given
- * is paid for. The flow with the least start tag is served next. A flow that
- * was idle begins at the present virtual time, so that idleness saves nothing up.
+ * A flow's finish tag is the virtual time at which its work so far is accounted for; the flow with the smallest start
+ * tag is served next. A flow that was idle starts at the current virtual time, so that idle time earns no credit.
  */
 export class FairClock<Flow> {
 	#virtualTime = 0;
 	readonly #finishTags = new Map<Flow, number>();
 
-	/** Start tag of a flow's next piece of work. */
+	/** Start tag of the next work of a flow. */
 	readStartTag(flow: Flow): number {
 		return Math.max(this.#virtualTime, this.#finishTags.get(flow) ?? 0);
 	}
 
-	/** Charges a flow for work that begins now. Cost in token-seconds, weight above 0. */
+	/** Charges a flow for work that starts now. The cost is in token-seconds, the weight above 0. */
 	charge(flow: Flow, cost: number, weight: number): void {
 		const start = this.readStartTag(flow);
 		this.#virtualTime = start;
 		this.#finishTags.set(flow, start + (cost / weight));
 	}
 
-	/** Corrects a charge when the true cost is known: positive when it was more. */
+	/** Corrects a charge once the actual cost is known; `difference` is positive if it was higher, in token-seconds. */
 	correct(flow: Flow, difference: number, weight: number): void {
 		const finish = this.#finishTags.get(flow);
 		if (finish !== undefined) {
@@ -29,7 +28,7 @@
 		}
 	}
 
-	/** Forgets flows that are paid for: their tags say nothing any more. */
+	/** Removes flows whose finish tag has passed: they would start at the current virtual time anyway. */
 	prune(): void {
 		for (const [flow, finish] of this.#finishTags) {
 			if (finish <= this.#virtualTime) {
@@ -38,7 +37,7 @@
 		}
 	}
 
-	/** Number of flows remembered. */
+	/** Number of tracked flows. */
 	get size(): number {
 		return this.#finishTags.size;
 	}
--- a/src/node/dispatch/grant-tracker.ts
+++ b/src/node/dispatch/grant-tracker.ts
@@ -1,7 +1,7 @@
 /**
- * The grants of one pool that are out: what they hold, what they were charged, and which entries hold them.
+ * Tracks the outstanding grants of one pool: their memory, their charges and the entry nodes that hold them.
  *
- * Pure but for the clock. The queue decides what is granted; this keeps count of it.
+ * Does no I/O. The queue decides which request is granted next.
  */
 import type {Clock, GrantId, Incarnation} from '../../common/index.js';
 import {Ledger, type HeldGrant} from './ledger.js';
@@ -9,19 +9,19 @@
 import {PrefillEstimator, type ExpectedPrefill} from './prefill-estimator.js';
 import type {Charge, RequestQueue} from './request-queue.js';
 
-/** How long a grant may stay unused, in milliseconds. */
+/** How long a grant stays valid unused, in milliseconds. */
 export const grantLifetime = 2000;
 
-/** Added to a grant's lifetime before the dispatcher takes it back unasked, in milliseconds. */
+/** Added to a grant's lifetime before the dispatcher reclaims it on its own, in milliseconds. */
 export const reclaimMargin = 1000;
 
-/** Silence after which an entry that holds grants counts as dead, in milliseconds. */
+/** Time without heartbeats after which the grants of an entry node count as orphaned, in milliseconds. */
 export const entryTimeout = 6000;
 
-/** Grants that are out. */
+/** Tracks outstanding grants. */
 export class GrantTracker {
 	readonly ledger = new Ledger();
-	/** What servers are expected to read. */
+	/** Expected prefill times of the pool's servers. */
 	readonly prefillEstimator = new PrefillEstimator();
 	readonly #clock: Clock;
 	readonly #queue: RequestQueue;
@@ -34,7 +34,7 @@
 		this.#queue = queue;
 	}
 
-	/** Takes over grants that another dispatcher gave. */
+	/** Adds grants issued by an earlier dispatcher of the pool. */
 	adopt(grants: Grant[]): void {
 		const now = this.#clock.readMonotonic();
 		for (const grant of grants) {
@@ -43,7 +43,7 @@
 		}
 	}
 
-	/** Holds a new grant, with what it was charged and is expected to read. */
+	/** Adds a new grant with its expected prefill and its charge. */
 	hold(grant: Grant, prefill: ExpectedPrefill, charge: Charge): void {
 		const now = this.#clock.readMonotonic();
 		this.ledger.hold(grant, now);
@@ -52,7 +52,7 @@
 		this.#lastHeartbeats.set(grant.entry, now);
 	}
 
-	/** Frees grants, and corrects what was charged for them to what they took. */
+	/** Releases grants and corrects their charges to the actual cost. */
 	release(grantIds: GrantId[]): void {
 		const now = this.#clock.readMonotonic();
 		for (const grantId of grantIds) {
@@ -64,12 +64,12 @@
 		}
 	}
 
-	/** Notes that an entry gave a sign of life. */
+	/** Records the heartbeat of an entry node. */
 	recordHeartbeat(entry: Incarnation): void {
 		this.#lastHeartbeats.set(entry, this.#clock.readMonotonic());
 	}
 
-	/** Frees what an entry does not list. Young grants may still be on their way and stay. */
+	/** Releases grants that an entry node does not list. Recent grants may still be in transit and are kept. */
 	reconcile(entry: Incarnation, active: Grant[]): void {
 		this.adopt(active);
 		const activeIds = new Set(active.map(grant => grant.grantId));
@@ -78,7 +78,7 @@
 		this.release(stale.map(held => held.grant.grantId));
 	}
 
-	/** Lists the grants of entries that have been silent for too long. */
+	/** Lists the grants of entry nodes whose heartbeats have timed out. */
 	listOrphans(): Grant[] {
 		const limit = this.#clock.readMonotonic() - entryTimeout;
 		return this.ledger.listGrants()
@@ -86,7 +86,7 @@
 			.map(held => held.grant);
 	}
 
-	/** Forgets entries that hold nothing. */
+	/** Removes entry nodes that hold no grants. */
 	prune(): void {
 		const holders = new Set(this.ledger.listGrants().map(held => held.grant.entry));
 		for (const entry of this.#lastHeartbeats.keys()) {
--- a/src/node/dispatch/ledger.ts
+++ b/src/node/dispatch/ledger.ts
@@ -1,44 +1,42 @@
 /**
- * The ledger of a pool: how many tokens of each backend server are held, by
- * which grant, and until about when.
+ * The ledger of a pool: the tokens held on each backend server, and the grants that hold them. Pure.
  *
- * Pure state. Invariants: `hold` is asked only where there is room, nothing is
- * negative, and an idle ledger holds zero.
+ * Invariants: `hold` is called only where enough memory is free, no count is negative, and an idle ledger holds zero.
  */
 import type {
 	BackendServerId, GrantId, Incarnation, OrganisationId,
 } from '../../common/index.js';
 import type {Grant} from './messages.js';
 
-/** A backend server as the dispatcher sees it. */
+/** Current state of a backend server. */
 export type ServerState = {
 	id: BackendServerId;
 	url: string;
 	availabilityZone: string;
-	/** Tokens it can hold. */
+	/** Memory, in tokens. */
 	capacity: number;
-	/** Prompt tokens it reads a second. */
+	/** Prompt tokens prefilled per second. */
 	prefillRate: number;
-	/** Milliseconds between two tokens of an answer. */
+	/** Milliseconds between two output tokens. */
 	tokenInterval: number;
-	/** False once any source says that it is leaving or cannot be reached. */
+	/** False once any source reports that it is leaving or unreachable. */
 	open: boolean;
 };
 
-/** A grant that is out. */
+/** An outstanding grant. */
 export type HeldGrant = {
 	grant: Grant;
 	/** Monotonic time of the grant, in milliseconds. */
 	since: number;
 };
 
-/** What one backend server holds. */
+/** Tokens and grants held on one backend server. */
 type ServerAccount = {
 	tokens: number;
 	grants: Map<GrantId, HeldGrant>;
 };
 
-/** What one organisation holds in the pool. */
+/** Tokens and requests held by one organisation in the pool. */
 export type OrganisationAccount = {
 	tokens: number;
 	running: number;
@@ -47,7 +45,7 @@
 const emptyAccount: ServerAccount = {tokens: 0, grants: new Map()};
 const emptyOrganisation: OrganisationAccount = {tokens: 0, running: 0};
 
-/** Counts what is held on each backend server. */
+/** Tracks the memory held on each backend server. */
 export class Ledger {
 	#open: ServerState[] = [];
 	readonly #servers = new Map<BackendServerId, ServerState>();
@@ -57,17 +55,17 @@
 	#heldTokens = 0;
 	#openCapacity = 0;
 
-	/** Number of grants out. */
+	/** Number of outstanding grants. */
 	get grantCount(): number {
 		return this.#grants.size;
 	}
 
-	/** Share of the open memory that is free, from 0 to 1. */
+	/** Free share of the memory of the open servers, from 0 to 1. */
 	get freeShare(): number {
 		return this.#openCapacity === 0 ? 0 : Math.max(0, 1 - (this.#heldTokens / this.#openCapacity));
 	}
 
-	/** Replaces the set of backend servers. Grants on a server that is no longer listed stay until released. */
+	/** Replaces the set of backend servers. Grants on a removed server stay until they are released. */
 	setServers(servers: Iterable<ServerState>): void {
 		this.#servers.clear();
 		for (const server of servers) {
@@ -78,18 +76,18 @@
 		this.#openCapacity = this.#open.reduce((sum, server) => sum + server.capacity, 0);
 	}
 
-	/** Lists the backend servers that take new work. */
+	/** Lists the backend servers that accept new work. */
 	listOpen(): readonly ServerState[] {
 		return this.#open;
 	}
 
-	/** Tokens free on a backend server; negative after grants adopted past its capacity. */
+	/** Tokens free on a backend server; negative when adopted grants exceed its capacity. */
 	countFree(id: BackendServerId): number {
 		const capacity = this.#servers.get(id)?.capacity ?? 0;
 		return capacity - this.countHeld(id);
 	}
 
-	/** Tokens free on the open backend server that has the most. */
+	/** Tokens free on the open backend server with the most free memory. */
 	findLargestFree(): number {
 		let largest = 0;
 		for (const server of this.#open) {
@@ -104,12 +102,12 @@
 		return this.#readAccount(id).tokens;
 	}
 
-	/** What an organisation holds. */
+	/** Tokens and requests held by an organisation. */
 	readOrganisation(id: OrganisationId): Readonly<OrganisationAccount> {
 		return this.#organisations.get(id) ?? emptyOrganisation;
 	}
 
-	/** Records a grant. A grant already recorded is not counted twice. */
+	/** Adds a grant; a grant that is already held is not counted twice. */
 	hold(grant: Grant, now: number): void {
 		if (this.#grants.has(grant.grantId)) {
 			return;
@@ -120,7 +118,7 @@
 		this.#count(held, 1);
 	}
 
-	/** Gives back a grant's tokens; returns it, or `undefined` if it was not out. */
+	/** Releases the tokens of a grant; returns it, or `undefined` if it was not held. */
 	release(grantId: GrantId): HeldGrant | undefined {
 		const held = this.#grants.get(grantId);
 		if (held === undefined) {
@@ -132,7 +130,7 @@
 		return held;
 	}
 
-	/** Lists the grants of an entry, or all. */
+	/** Lists the grants of an entry node, or all grants. */
 	listGrants(entry?: Incarnation): HeldGrant[] {
 		const all = [...this.#grants.values()];
 		return entry === undefined ? all : all.filter(held => held.grant.entry === entry);
--- a/src/node/dispatch/placement.ts
+++ b/src/node/dispatch/placement.ts
@@ -1,4 +1,4 @@
-/** Placement: which of the open backend servers a request runs on. Pure. */
+/** Placement policies: choose the open backend server on which a request runs. Pure. */
 import type {BackendServerId} from '../../common/index.js';
 import type {Ledger, ServerState} from './ledger.js';
 import {countTokens, type AdmitRequest} from './messages.js';
@@ -6,15 +6,15 @@
 import type {PrefixIndex} from './prefix-index.js';
 import type {Reservation} from './reservation.js';
 
-/** A backend server that was weighed, with what decided. */
+/** A candidate backend server with the values that rank it. */
 export type ScoredServer = {
 	server: ServerState;
 	freeTokens: number;
-	/** Tokens of the prompt that it is likely to have cached. */
+	/** Estimated cached tokens of the prompt. */
 	cachedTokens: number;
 	/** Expected milliseconds to the first token. */
 	firstToken: number;
-	/** Weighted milliseconds by which it would delay others; the least sum of both is chosen. */
+	/** Weighted milliseconds by which the request would delay others; the smallest `firstToken + delayCost` is chosen. */
 	delayCost: number;
 };
 
@@ -22,12 +22,12 @@
 export type Placement = {
 	/** Absent when the request has to wait. */
 	choice: ScoredServer | undefined;
-	/** The first few servers weighed. */
+	/** The first few candidates, for the log. */
 	candidates: ScoredServer[];
 	reason: string;
 };
 
-/** The state of a pool that placements look at. */
+/** The state of a pool as seen by a placement policy. */
 export type PoolState = {
 	ledger: Ledger;
 	prefillEstimator: PrefillEstimator;
@@ -41,40 +41,40 @@
 	abstract place(request: AdmitRequest, state: PoolState): Placement;
 }
 
-/** How first-token placement treats long prompts; each can be turned off to measure what it does. */
+/** Options of first-token placement; each can be turned off to measure its effect. */
 export type FirstTokenOptions = {
 	/**
-	 * Weight of the delay that a prompt causes to those read after it on a server, against its own.
+	 * Weight of the delay caused to prompts prefilled later on the same server, relative to the request's own delay.
 	 *
 	 * @default 0.25
 	 */
 	delayWeight: number;
 	/**
-	 * Whether a server reads one long prompt at a time, the others waiting where they can still be reordered.
+	 * Whether a server prefills one long prompt at a time, so that the others wait in the queue, where they can be reordered.
 	 *
 	 * @default true
 	 */
 	limitsLongPrefills: boolean;
 	/**
-	 * Whether cached prefixes count.
+	 * Whether cached prefixes are considered.
 	 *
 	 * @default true
 	 */
 	usesPrefixes: boolean;
 };
 
-/** The options in force. */
+/** Default options of first-token placement. */
 export const defaultFirstTokenOptions: FirstTokenOptions = {delayWeight: 0.25, limitsLongPrefills: true, usesPrefixes: true};
 
-/** Servers kept of those weighed, for the log. */
+/** Maximum number of candidates kept for the log. */
 const maxLoggedCandidates = 8;
 
 const nothingCached: ReadonlyMap<BackendServerId, number> = new Map();
 
-/** Backlog of reading that a further long prompt may find on a server, in milliseconds. */
+/** Maximum prefill backlog of a server that can be given another long prompt, in milliseconds. */
 const maxLongBacklog = 50;
 
-/** Chooses the server with the least expected time to first token, among those with room. */
+/** Chooses the server with the smallest expected time to first token, among those with enough free memory. */
 export class FirstTokenPlacement extends PlacementPolicy {
 	readonly #options: FirstTokenOptions;
 
@@ -130,7 +130,7 @@
 	}
 }
 
-/** Baseline: one server after another, among those with room. */
+/** Baseline: round robin among servers with enough free memory. */
 export class RoundRobinPlacement extends PlacementPolicy {
 	#next = 0;
 
@@ -147,7 +147,7 @@
 	}
 }
 
-/** Baseline: the server with the fewest requests, among those with room. */
+/** Baseline: the server with the fewest requests, among those with enough free memory. */
 export class LeastOutstandingPlacement extends PlacementPolicy {
 	override place(request: AdmitRequest, state: PoolState): Placement {
 		let best: {server: ServerState; count: number} | undefined;
@@ -172,7 +172,7 @@
 	};
 }
 
-/** Ties go to the server with more room, so that equal servers fill alike. */
+/** Ties go to the server with the larger share of free memory, so that equal servers fill evenly. */
 function isBetter(candidate: ScoredServer, best: ScoredServer): boolean {
 	const difference = candidate.firstToken + candidate.delayCost - best.firstToken - best.delayCost;
 	if (difference !== 0) {
--- a/src/node/dispatch/prefill-estimator.ts
+++ b/src/node/dispatch/prefill-estimator.ts
@@ -1,49 +1,47 @@
 /**
- * When each backend server is expected to have read the prompts sent to it. Pure.
+ * Estimates when each backend server will have prefilled the prompts sent to it. Pure.
  *
- * Engines honour priorities: a prompt is read before what is left of those of a
- * later priority. One time is kept for each priority: when all prompts of it and
- * of earlier ones will have been read. They are times, not amounts, so that an
- * error dies out by itself.
+ * Engines prefill by priority. For each priority it keeps the time at which all prompts of that and of earlier
+ * priorities are expected to be prefilled. Since these are times rather than amounts, errors do not accumulate.
  */
 import type {BackendServerId} from '../../common/index.js';
 import type {ServerState} from './ledger.js';
 
-/** Upper ends of the lengths that share an engine priority, in tokens; shorter goes first. */
+/** Maximum prompt length of each engine priority, in tokens; shorter prompts are prefilled first. */
 const priorityMaxTokens = [8000, 32_000, 100_000, 300_000, Number.POSITIVE_INFINITY];
 
-/** First priority of prompts that count as long: a server reads one of them at a time. */
+/** First priority of long prompts, of which a server prefills one at a time. */
 const firstLongPriority = 2;
 
-/** Expected time for which a prompt waits for the piece of a later one that is being read, in milliseconds. */
+/** Expected wait for the prefill chunk in progress of a lower-priority prompt, in milliseconds. */
 const chunkWait = 13;
 
-/** When a prompt was expected to have been read. */
+/** Expected prefill of a prompt. */
 export type ExpectedPrefill = {
 	server: BackendServerId;
 	priority: number;
-	/** Milliseconds of reading. */
+	/** Duration in milliseconds. */
 	duration: number;
-	/** Monotonic time. */
+	/** Monotonic end time in milliseconds. */
 	end: number;
 };
 
-/** Priority of a prompt at the engine; the least goes first. */
+/** Priority of a prompt at the engine; the smallest is prefilled first. */
 export function computePriority(promptTokens: number): number {
 	return priorityMaxTokens.findIndex(length => promptTokens <= length);
 }
 
-/** Whether a prompt is long. */
+/** Whether a prompt counts as long. */
 export function isLongPrompt(promptTokens: number): boolean {
 	return computePriority(promptTokens) >= firstLongPriority;
 }
 
-/** Expected reading times of a pool's servers. */
+/** Expected prefill times of the servers of a pool. */
 export class PrefillEstimator {
-	/** For each server, the monotonic time for each priority. */
+	/** For each server, the monotonic end time of each priority. */
 	readonly #endTimes = new Map<BackendServerId, number[]>();
 
-	/** Milliseconds until the first token of a prompt of which this many tokens are not cached. */
+	/** Predicts the milliseconds until the first token of a prompt of which `cached` tokens are cached. */
 	predictFirstToken(server: ServerState, promptTokens: number, cached: number, now: number): number {
 		const times = this.#endTimes.get(server.id);
 		const duration = computePrefillTime(server, promptTokens - cached);
@@ -56,18 +54,18 @@
 		return Math.max(0, times[priority] - now) + duration + (isPrefillingLater ? chunkWait : 0);
 	}
 
-	/** Milliseconds until every prompt on a server has been read. */
+	/** Estimates the milliseconds until a server has prefilled all its prompts. */
 	estimateBacklog(server: BackendServerId, now: number): number {
 		return Math.max(0, (this.#endTimes.get(server)?.at(-1) ?? 0) - now);
 	}
 
-	/** Milliseconds by which a prompt of a priority holds up those of later ones on a server. */
+	/** Estimates the remaining prefill of lower-priority prompts on a server, in milliseconds; a prompt of this length would delay it. */
 	estimateLaterBacklog(server: BackendServerId, promptTokens: number, now: number): number {
 		const times = this.#endTimes.get(server);
 		return times === undefined ? 0 : Math.max(0, times.at(-1)! - Math.max(now, times[computePriority(promptTokens)]));
 	}
 
-	/** Notes that a prompt was sent to a server. Returns what `recordDone` needs when its request has ended. */
+	/** Records that a prompt was sent to a server. The result is passed to `recordDone` when the request has ended. */
 	recordSent(server: ServerState, promptTokens: number, cached: number, now: number): ExpectedPrefill {
 		const duration = computePrefillTime(server, promptTokens - cached);
 		const times = this.#endTimes.get(server.id) ?? priorityMaxTokens.map(() => now);
@@ -83,8 +81,8 @@
 	}
 
 	/**
-	 * Notes that a request has ended. One that ended before its prompt was expected to be read
-	 * shows that the server is ahead of its times, by at most that prompt.
+	 * Records that a request has ended. If it ended before the expected end of its prefill, the server
+	 * is faster than estimated, and its end times are moved forward by at most the duration of that prefill.
 	 */
 	recordDone(expected: ExpectedPrefill, now: number): void {
 		const times = this.#endTimes.get(expected.server);
@@ -99,7 +97,7 @@
 	}
 }
 
-/** Milliseconds for reading tokens of a prompt. */
+/** Computes the milliseconds that a server needs to prefill tokens. */
 export function computePrefillTime(server: ServerState, tokens: number): number {
 	return Math.max(0, tokens) / server.prefillRate * 1000;
 }
--- a/src/node/dispatch/prefix-index.ts
+++ b/src/node/dispatch/prefix-index.ts
@@ -1,37 +1,36 @@
 /**
- * Which prompt prefixes each backend server is likely to have cached. Pure.
+ * Estimates which prompt prefixes each backend server has cached. Pure.
  *
- * It is filled by what was sent there; what a server has been sent since pushes
- * older prefixes out, as its own cache does. Kept by prefix, so that a lookup
- * costs a step a prefix and server that has it, not one a server.
+ * Prefixes are recorded when a prompt is sent and expire as more tokens are sent to the server, like its own cache.
+ * Indexed by prefix, so that a lookup visits only servers that have it rather than all servers.
  */
 import type {BackendServerId} from '../../common/index.js';
 
-/** The prefixes of a prompt, each twice as long as the one before. */
+/** The prefixes of a prompt, each twice as long as the previous one. */
 export type PromptPrefixes = {
-	/** Hashes of all bytes from the beginning to the end of each prefix. */
+	/** Hash of each prefix, over all its bytes. */
 	hashes: string[];
 	/** Estimated tokens of the first prefix. */
 	firstTokens: number;
 };
 
-/** A prompt of which nothing can be cached. */
+/** Prefixes of a prompt that cannot be cached. */
 export const noPrefixes: PromptPrefixes = {hashes: [], firstTokens: 0};
 
-/** Prefixes remembered for a pool. */
+/** Maximum number of prefixes kept per pool; the least recently used are evicted. */
 const maxPrefixes = 65_536;
 
-/** A prefix counts as cached until this many tokens have been sent to the server after it. */
+/** A prefix counts as cached until this many further tokens have been sent to the server. */
 const cacheWindowTokens = 450_000;
 
-/** Likely cache contents of the servers of a pool. */
+/** Estimated cache contents of the servers of a pool. */
 export class PrefixIndex {
-	/** For each prefix, the tokens that each server had been sent when it last saw it. */
+	/** For each prefix and server, the total tokens sent to the server when the prefix was last used. */
 	readonly #prefixes = new Map<string, Map<BackendServerId, number>>();
-	/** Tokens sent to each server in all. */
+	/** Total tokens sent to each server. */
 	readonly #sent = new Map<BackendServerId, number>();
 
-	/** Tokens of a prompt that each server is likely to have cached; servers with none are left out. */
+	/** Estimates the cached tokens of a prompt on each server; servers with none are omitted. */
 	findCached(prefixes: PromptPrefixes): Map<BackendServerId, number> {
 		const cached = new Map<BackendServerId, number>();
 		for (const [index, hash] of prefixes.hashes.entries()) {
@@ -45,14 +44,14 @@
 		return cached;
 	}
 
-	/** Notes that a prompt was sent to a server. */
+	/** Records that a prompt was sent to a server. */
 	recordSent(server: BackendServerId, promptTokens: number, hashes: string[]): void {
 		const sent = (this.#sent.get(server) ?? 0) + promptTokens;
 		this.#sent.set(server, sent);
 		for (const hash of hashes) {
 			const servers = this.#prefixes.get(hash) ?? new Map<BackendServerId, number>();
 			servers.set(server, sent);
-			// Deleted first, so that the map's order is that of last use.
+			// Deleted before it is set, so that the map is ordered by last use.
 			this.#prefixes.delete(hash);
 			this.#prefixes.set(hash, servers);
 		}
@@ -66,7 +65,7 @@
 		}
 	}
 
-	/** Forgets a server whose cache is gone: it was restarted or left. */
+	/** Removes a server whose cache is lost because it was restarted or has left. */
 	removeServer(server: BackendServerId): void {
 		this.#sent.delete(server);
 		for (const servers of this.#prefixes.values()) {
--- a/src/node/dispatch/request-queue.ts
+++ b/src/node/dispatch/request-queue.ts
@@ -1,4 +1,4 @@
-/** The order in which waiting requests are offered a place. Pure. */
+/** Queues that order the waiting requests of a pool. Pure. */
 import type {Either} from 'purify-ts';
 import type {
 	Failure, OrganisationId, PartnerId, RequestId, Timer,
@@ -6,15 +6,15 @@
 import {FairClock} from './fair-clock.js';
 import type {AdmitRequest, Grant} from './messages.js';
 
-/** A request that waits. */
+/** A waiting request. */
 export type WaitingRequest = {
 	request: AdmitRequest;
 	partner: PartnerId;
-	/** Place within its organisation; the least first. */
+	/** Sort key within its organisation, ascending. */
 	order: number;
 	/** Weight of its organisation within the partner. */
 	weight: number;
-	/** Agreed share of its partner. */
+	/** Agreed share of its partner in the pool. */
 	share: number;
 	/** Monotonic time of arrival, in milliseconds. */
 	since: number;
@@ -22,7 +22,7 @@
 	resolve(result: Either<Failure, Grant>): void;
 };
 
-/** Work that has been paid for, so that the charge can be corrected at its end. */
+/** A charge for granted work, kept so that it can be corrected when the work ends. */
 export type Charge = {
 	partner: PartnerId;
 	organisation: OrganisationId;
@@ -32,7 +32,7 @@
 	share: number;
 };
 
-/** Holds waiting requests. */
+/** A queue of waiting requests. */
 export abstract class RequestQueue {
 	#size = 0;
 
@@ -47,7 +47,7 @@
 		this.insert(waiting);
 	}
 
-	/** Takes a request out; undefined when it does not wait here. */
+	/** Removes a request; returns `undefined` if it is not queued. */
 	remove(requestId: RequestId): WaitingRequest | undefined {
 		const waiting = this.extract(requestId);
 		if (waiting !== undefined) {
@@ -57,7 +57,7 @@
 		return waiting;
 	}
 
-	/** Takes all requests out. */
+	/** Removes all requests. */
 	removeAll(): WaitingRequest[] {
 		const all = [...this.listInOrder()];
 		for (const waiting of all) {
@@ -67,23 +67,23 @@
 		return all;
 	}
 
-	/** Forgets flows that are idle and paid for. */
+	/** Removes idle flows whose charges are accounted for. */
 	abstract prune(): void;
 
-	/** The waiting requests, the one to serve next first. Not to be changed while it is read. */
+	/** Lists the waiting requests in the order of service. The queue must not change during iteration. */
 	abstract listInOrder(): Iterable<WaitingRequest>;
 
-	/** Charges a request's flow when it is given a place. */
+	/** Charges the flow of a granted request; the cost is in token-seconds. */
 	abstract charge(waiting: WaitingRequest, cost: number): Charge;
 
-	/** Corrects a charge by the true cost, in token-seconds. */
+	/** Corrects a charge to the actual cost, in token-seconds. */
 	abstract correct(charge: Charge, cost: number): void;
 
 	protected abstract insert(waiting: WaitingRequest): void;
 	protected abstract extract(requestId: RequestId): WaitingRequest | undefined;
 }
 
-/** What queues without shares have in common: one list. */
+/** Base of queues without shares: one list. */
 abstract class ListQueue extends RequestQueue {
 	protected readonly list: WaitingRequest[] = [];
 
@@ -92,11 +92,11 @@
 	}
 
 	override correct(): void {
-		// Nothing was charged.
+		// Charges do not affect the order.
 	}
 
 	override prune(): void {
-		// There are no flows.
+		// There are no flows to remove.
 	}
 
 	override listInOrder(): Iterable<WaitingRequest> {
@@ -116,7 +116,7 @@
 	}
 }
 
-/** Baseline: the shortest prompt first. */
+/** Baseline: shortest prompt first. */
 export class ShortestQueue extends ListQueue {
 	protected override insert(waiting: WaitingRequest): void {
 		insertSorted(this.list, waiting, other => other.request.promptTokens > waiting.request.promptTokens);
@@ -135,8 +135,8 @@
 };
 
 /**
- * Two levels of fair queueing: partners by their agreed shares, organisations by
- * their policy's weights, and within an organisation its policy's order.
+ * Two-level fair queueing: partners by their agreed shares, organisations by the weights of the partner's policy, and
+ * the requests of an organisation by the order of that policy.
  */
 export class FairQueue extends RequestQueue {
 	readonly #clock = new FairClock<PartnerId>();
@@ -210,7 +210,7 @@
 function * listPartner(partner: PartnerFlow): Iterable<WaitingRequest> {
 	const flows = [...partner.organisations.values()];
 	sortByStartTag(flows, flow => partner.clock.readStartTag(flow.id), flow => flow.list[0].since);
-	// Heads first: the second of one organisation comes after the first of every other.
+	// Interleaves the flows: the second request of one organisation comes after the first of every other.
 	const maxLength = Math.max(...flows.map(flow => flow.list.length));
 	for (let rank = 0; rank < maxLength; rank++) {
 		for (const flow of flows) {
--- a/src/node/dispatch/reservation.ts
+++ b/src/node/dispatch/reservation.ts
@@ -1,26 +1,24 @@
 /**
- * A place kept for the request at the head of the queue (EASY backfilling; Lifka, 1995).
+ * Reservation of memory for the request at the head of the queue (EASY backfilling; Lifka, 1995).
  *
- * The server that will have room for it first is named, with the expected time.
- * Others may still run there if they are expected to end before it, or if they
- * leave room for it. One reservation a pool: the head's alone, so that nothing
- * is promised twice.
+ * Other requests may run on the reserved server if they are expected to end before the reserved time, or if they leave
+ * enough memory. A pool has one reservation at a time, so that no memory is reserved twice.
  */
 import type {RequestId} from '../../common/index.js';
 import type {Ledger, ServerState} from './ledger.js';
 import {countTokens, type AdmitRequest} from './messages.js';
 
-/** What a placement knows of a candidate server. */
+/** State of a candidate server during placement. */
 type Candidate = {
 	cachedTokens: number;
 	freeTokens: number;
 };
 
-/** A place kept for one request. */
+/** Memory reserved for one request on one server. */
 export class Reservation {
 	/**
-	 * `at`: monotonic time at which there is expected to be room, in milliseconds.
-	 * `spare`: tokens that will then be free beyond what the request needs.
+	 * `at`: monotonic time at which enough memory is expected to be free, in milliseconds.
+	 * `spareTokens`: tokens free at that time beyond what the request needs.
 	 */
 	constructor(
 		readonly requestId: RequestId,
@@ -29,7 +27,7 @@
 		readonly spareTokens: number,
 	) {}
 
-	/** Whether another request on a server would delay the one that the place is kept for. */
+	/** Whether placing another request on a server would delay the reserved one. */
 	isDelayedBy(server: ServerState, request: AdmitRequest, candidate: Candidate, now: number): boolean {
 		if (server.id !== this.server.id || request.requestId === this.requestId) {
 			return false;
@@ -39,13 +37,13 @@
 	}
 }
 
-/** Expected milliseconds for which a request holds its memory on a server. */
+/** Estimates how long a request holds its memory on a server, in milliseconds. */
 export function estimateHoldTime(server: ServerState, request: AdmitRequest, cachedTokens: number): number {
 	const prefillTime = Math.max(0, request.promptTokens - cachedTokens) / server.prefillRate * 1000;
 	return prefillTime + (request.outputTokens * server.tokenInterval);
 }
 
-/** Finds the server that will have room for a request first. */
+/** Reserves the server that is expected to have enough free memory for a request first. */
 export function reserveServer(request: AdmitRequest, ledger: Ledger, now: number): Reservation | undefined {
 	let best: Reservation | undefined;
 	for (const server of ledger.listOpen()) {
--- a/src/node/dispatch/wait-predictor.ts
+++ b/src/node/dispatch/wait-predictor.ts
@@ -1,32 +1,31 @@
 /**
- * Predicts how long a request will wait, from how fast requests of its length have been served. Pure.
+ * Predicts the wait of a request from the rate at which requests of its length class are served. Pure.
  *
- * Kept by engine priority: under overload short requests keep passing long ones, so
- * the memory that comes back says nothing of what a long one will get of it. Only
- * time in which something of the length waits counts: a quiet hour is no slow serviceRate.
+ * Rates are kept per engine priority: under overload short requests overtake long ones, so the total rate does not
+ * apply to long ones. Only time in which requests of the class wait counts, so that idle time does not lower the rate.
  */
 import {computePriority} from './prefill-estimator.js';
 
-/** Weight of the newest interval in the moving average. */
+/** Weight of the latest interval in the exponential moving average. */
 const smoothing = 0.2;
 
-/** Interval over which a rate is taken, in milliseconds. */
+/** Interval over which a rate is measured, in milliseconds. */
 const rateInterval = 1000;
 
 type ServiceRate = {
-	/** Tokens a millisecond; undefined before the first interval has passed. */
+	/** Tokens per millisecond; undefined before the first interval has passed. */
 	rate: number | undefined;
 	tokens: number;
 	since: number;
-	/** Requests of the length that wait. */
+	/** Number of waiting requests of the class. */
 	waiting: number;
 };
 
-/** Follows the rates at which waiting requests are given places. */
+/** Measures the rates at which waiting requests are granted. */
 export class WaitPredictor {
 	readonly #rates = new Map<number, ServiceRate>();
 
-	/** Notes that a request begins to wait, at a monotonic time in milliseconds. */
+	/** Records that a request has been queued, at a monotonic time in milliseconds. */
 	recordWaiting(promptTokens: number, now: number): void {
 		const priority = computePriority(promptTokens);
 		const serviceRate = this.#rates.get(priority) ?? {
@@ -41,7 +40,7 @@
 		serviceRate.waiting++;
 	}
 
-	/** Notes that a request waits no more. Tokens: of one that was given its place, 0 of one that left. */
+	/** Records that a request has left the queue. `tokens` is its size if it was granted, otherwise 0. */
 	recordDone(promptTokens: number, tokens: number, now: number): void {
 		const serviceRate = this.#rates.get(computePriority(promptTokens));
 		if (serviceRate === undefined) {
@@ -61,14 +60,14 @@
 		serviceRate.since = now;
 	}
 
-	/** Milliseconds until this many tokens of waiting requests of a length have been served; `undefined` while nothing is known. */
+	/** Predicts the milliseconds until this many tokens of a length class are served; `undefined` before a rate was measured. */
 	predictWait(promptTokens: number, tokens: number, now: number): number | undefined {
 		const serviceRate = this.#rates.get(computePriority(promptTokens));
 		if (serviceRate?.rate === undefined || serviceRate.waiting === 0) {
 			return undefined;
 		}
 
-		// Where nothing has been served for long, the old rate is no longer true.
+		// Lowers the rate when nothing has been served for longer than the interval.
 		const elapsed = Math.max(rateInterval, now - serviceRate.since);
 		const rate = Math.min(serviceRate.rate, Math.max(serviceRate.tokens, serviceRate.rate * rateInterval) / elapsed);
 		return tokens / rate;
--- a/test/dispatch-properties.test.ts
+++ b/test/dispatch-properties.test.ts
@@ -1,4 +1,4 @@
-/** Properties of the pure dispatcher under any order of events; fast-check shrinks what fails. */
+/** Properties of the dispatcher under random sequences of events; fast-check shrinks failing sequences. */
 import {setImmediate as waitForTurn} from 'node:timers/promises';
 import {expect, test} from '@jest/globals';
 import fc from 'fast-check';
@@ -42,13 +42,13 @@
 
 type Settled = {requestId: string; kind: 'grant' | ErrorKind; at: number};
 
-/** A dispatcher with entries that keep their word, and a record of all that was answered. */
+/** A dispatcher with correctly behaving entry nodes, and a record of all results. */
 class Harness {
 	readonly clock = new VirtualClock();
 	readonly asked = new Map<string, {at: number; patience: number}>();
 	readonly settled: Settled[] = [];
 	readonly active = new Map<string, Grant>();
-	/** Requests of each partner that wait for an answer. */
+	/** Number of waiting requests of each partner. */
 	readonly waiting = {a: 0, b: 0};
 	dispatcher: Dispatcher;
 	#count = 0;
@@ -77,7 +77,7 @@
 		void this.#wait(request);
 	}
 
-	/** Ends one of the active grants. */
+	/** Releases one of the active grants. */
 	release(index: number): void {
 		const grant = [...this.active.values()][index % Math.max(1, this.active.size)] as Grant | undefined;
 		if (grant !== undefined) {
@@ -92,7 +92,7 @@
 		});
 	}
 
-	/** Lets time pass in small steps, so that what is answered is seen when it is. */
+	/** Advances the clock in small steps, so that results are recorded close to their time. */
 	async pass(milliseconds: number): Promise<void> {
 		for (let left = milliseconds; left > 0; left -= timeStep) {
 			this.clock.advance(Math.min(timeStep, left));
@@ -100,7 +100,7 @@
 		}
 	}
 
-	/** Another dispatcher takes over and asks the entries for their grants. */
+	/** Replaces the dispatcher by one of the next term, which adopts the grants of the entry nodes. */
 	takeOver(): void {
 		const before = this.dispatcher;
 		this.#term++;
@@ -110,7 +110,7 @@
 		this.dispatcher.open();
 	}
 
-	/** An entry dies: its grants become orphans, whose work is cancelled and reclaimed. */
+	/** Stops an entry node; its grants become orphans and are reclaimed. */
 	async killEntry(entry: Incarnation): Promise<void> {
 		for (const grant of this.active.values()) {
 			if (grant.entry === entry) {
@@ -229,13 +229,13 @@
 		const held = harness.dispatcher.ledger.countHeld(server.id);
 		expect(held).toBeGreaterThanOrEqual(0);
 		expect(held).toBeLessThanOrEqual(capacity);
-		// What entries really hold, which a takeover that forgot a grant would let grow.
+		// Compares with the grants that entry nodes hold: a takeover that lost a grant would exceed the capacity.
 		const used = [...harness.active.values()].filter(grant => grant.backendServer === server.id).reduce((sum, grant) => sum + grant.tokens, 0);
 		expect(used).toBeLessThanOrEqual(capacity);
 	}
 }
 
-test('under any order of events no engine is over its memory, and nothing is held when all has ended', async () => {
+test('for any sequence of events no engine exceeds its memory, and no memory is held once all requests have ended', async () => {
 	let steps = 0;
 	await fc.assert(fc.asyncProperty(fc.array(step, {minLength: 20, maxLength: 60}), async sequence => {
 		const harness = new Harness(3);
@@ -263,7 +263,7 @@
 	expect(steps).toBeGreaterThan(5000);
 }, 60_000);
 
-test('under any order of events every request is answered once, within its patience', async () => {
+test('for any sequence of events every request is answered once, within its patience', async () => {
 	await fc.assert(fc.asyncProperty(fc.array(step, {minLength: 20, maxLength: 60}), async sequence => {
 		const harness = new Harness(3);
 		for (const next of sequence) {
@@ -280,7 +280,7 @@
 	}), {seed, numRuns: 300});
 }, 60_000);
 
-test('the same events give the same decisions', async () => {
+test('the same events lead to the same decisions', async () => {
 	const play = async (sequence: Step[]): Promise<unknown> => {
 		const harness = new Harness(3);
 		for (const next of sequence) {
@@ -296,13 +296,13 @@
 	}), {seed, numRuns: 100});
 });
 
-/** Keeps both partners' queues full and returns the token-seconds that each held in each second. */
+/** Keeps the queues of both partners full and returns the token-seconds that each held per tick. */
 async function holdBacklog(shares: Record<string, number>, sizes: {a: number; b: number}, seconds: number): Promise<Array<{a: number; b: number}>> {
 	const harness = new Harness(4, new PartnerDirectory(shares));
 	const held: Array<{a: number; b: number}> = [];
 	const ends = new Map<string, number>();
 	for (let tick = 0; tick < seconds * 10; tick++) {
-		// More than can end in one tick, so that neither partner is ever without work.
+		// More than can end in one tick, so that both partners always have waiting requests.
 		while (harness.waiting.a < 100 || harness.waiting.b < 100) {
 			harness.admit(sizes.a, 1_000_000, 'a-1');
 			harness.admit(sizes.b, 1_000_000, 'b-1');
@@ -326,19 +326,19 @@
 	return held;
 }
 
-test('no partner stays below its agreed share while it has work, whatever the sizes of its requests', async () => {
+test('a partner with waiting requests gets its agreed share, whatever the sizes of its requests', async () => {
 	await fc.assert(fc.asyncProperty(fc.integer({min: 1, max: 4}), fc.integer({min: 50, max: 400}), fc.integer({min: 50, max: 400}), async (share, sizeA, sizeB) => {
 		const held = await holdBacklog({a: share, b: 1}, {a: sizeA, b: sizeB}, 25);
 		const settled = held.slice(50);
 		const a = settled.reduce((sum, entry) => sum + entry.a, 0);
 		const b = settled.reduce((sum, entry) => sum + entry.b, 0);
-		// Placement is in whole requests, so a tenth of the share is given either way.
+		// Allows a tenth of the share, since only whole requests are placed.
 		expect(a / (a + b)).toBeGreaterThan(share / (share + 1) * 0.9);
 		expect(b / (a + b)).toBeGreaterThan(1 / (share + 1) * 0.9);
 	}), {seed, numRuns: 8});
 }, 60_000);
 
-test('what a partner does not use is lent, and comes back within the longest request', async () => {
+test('the unused share of a partner is lent to others, and returned within the duration of the longest request', async () => {
 	const harness = new Harness(2, new PartnerDirectory({a: 1, b: 1}));
 	for (let index = 0; index < 40; index++) {
 		harness.admit(200, 1_000_000, 'a-1');
@@ -362,7 +362,7 @@
 	expect(counts).toBeGreaterThanOrEqual(5);
 });
 
-test('a long request is not starved by short ones that keep coming', async () => {
+test('a long request is not starved by a steady arrival of short ones', async () => {
 	const harness = new Harness(1);
 	harness.admit(500, 1_000_000, 'a-1');
 	harness.admit(1000, 60_000, 'a-2');
--- a/test/hold-grants.test.ts
+++ b/test/hold-grants.test.ts
@@ -13,7 +13,7 @@
 const callerRequest: unknown = {pool: 's@r', deadline: 60_000};
 const request = callerRequest as CallerRequest;
 
-/** Answers each ask by the next of its answers. */
+/** Returns the scripted answers in order. */
 class ScriptedGateway extends DispatcherGateway {
 	readonly asked: Array<'holder' | 'stand-in'> = [];
 	readonly heartbeats: Heartbeat[] = [];
@@ -51,7 +51,7 @@
 	return {grantId: held.unsafeCoerce().grant.grantId, client};
 }
 
-test('a grant that arrives after its life is given back, and asked for again', async () => {
+test('a grant that arrives after its lifetime is released, and a new one is requested', async () => {
 	const gateway = new ScriptedGateway([
 		async () => {
 			await waitFor(clock, 3000);
@@ -75,10 +75,10 @@
 	expect(gateway.heartbeats.flatMap(heartbeat => heartbeat.released)).toEqual(['late']);
 });
 
-test('holder and stand-in are asked in turn until one decides, each ask with a time of its own', async () => {
+test('the term holder and the stand-in are asked in turn until one grants, each with its own timeout', async () => {
 	const answerNoDispatcher = async () => {
 		await waitFor(clock, 1500);
-		return Left(createFailure('no_dispatcher', 'nobody'));
+		return Left(createFailure('no_dispatcher', 'no dispatcher'));
 	};
 
 	const gateway = new ScriptedGateway([answerNoDispatcher, answerNoDispatcher, answerNoDispatcher, async () => Right(makeGrant('found'))]);
--- a/test/log-decisions.test.ts
+++ b/test/log-decisions.test.ts
@@ -13,7 +13,7 @@
 	await fleet.stop();
 });
 
-/** Keeps the names and tags of metrics. */
+/** Records the names and tags of metrics. */
 class MemoryMetrics extends Metrics {
 	readonly seen = new Map<string, MetricTags[]>();
 
@@ -47,7 +47,7 @@
 	return {memory, metrics};
 }
 
-test('a placement is one line with what was weighed, the choice and the reason', async () => {
+test('a placement is logged in one line with the candidates, the choice and the reason', async () => {
 	const {memory} = await startLogged();
 	await fleet.settle(chat(fleet.nodes[0].callerUrl));
 	const [line] = memory.listEvents('placement');
@@ -62,13 +62,13 @@
 	expect(memory.listEvents('request_ended')[0]).toMatchObject({request: line.request, outcome: 'whole'});
 });
 
-test('a refusal is one line with its kind and reason', async () => {
+test('a refusal is logged in one line with its kind and reason', async () => {
 	const {memory} = await startLogged();
 	await fleet.settle(chat(fleet.nodes[0].callerUrl, {max_tokens: 300_000}));
 	expect(memory.listEvents('refusal')).toMatchObject([{kind: 'prompt_too_large', organisation: standinFleet.organisation}]);
 });
 
-test('prompts and keys never enter a log', async () => {
+test('prompts and keys are never logged', async () => {
 	const {memory} = await startLogged();
 	fleet.engines[0].faults = {cutAfter: 1, forget: true};
 	const secretPrompt = 'the valley of the seven wells';
@@ -80,7 +80,7 @@
 	}
 });
 
-test('the metrics that operators read are sent', async () => {
+test('the metrics that operators use are emitted', async () => {
 	const {metrics} = await startLogged();
 	fleet.engines[0].faults = {refuse: true};
 	await fleet.settle(Promise.all([1, 2].map(async () => chat(fleet.nodes[0].callerUrl))));
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -41,13 +41,13 @@
 	return new FirstTokenPlacement().place(request, state).choice?.server.id;
 }
 
-test('a short prompt passes an engine that reads a long one', () => {
+test('a short prompt avoids an engine that is prefilling a long one', () => {
 	const state = createState();
 	state.prefillEstimator.recordSent(servers[0], 200_000, 0, 0);
 	expect(choose(state, describeRequest(2000))).toBe('engine-1');
 });
 
-test('a short prompt goes to an engine that reads a long one rather than wait behind many short ones', () => {
+test('a short prompt goes to an engine that is prefilling a long one rather than wait behind many short ones', () => {
 	const state = createState();
 	state.prefillEstimator.recordSent(servers[0], 200_000, 0, 0);
 	for (let index = 0; index < 10; index++) {
@@ -57,21 +57,21 @@
 	expect(choose(state, describeRequest(2000))).toBe('engine-0');
 });
 
-test('a warm engine wins until its backlog costs more than its cache saves', () => {
+test('an engine with cached prefixes is preferred until its backlog costs more than the cache saves', () => {
 	const state = createState();
 	const prefixes = {hashes: ['a', 'b', 'c'], firstTokens: 1000};
 	state.prefixes.recordSent(servers[1].id, 6000, prefixes.hashes);
 	const request = describeRequest(6000, {prefixes});
 	expect(choose(state, request)).toBe('engine-1');
 
-	// 4000 cached tokens save 200 ms of reading: a backlog of 160 ms is worth it, one of 240 ms is not.
+	// 4000 cached tokens save 200 ms of prefill: more than a backlog of 160 ms costs, less than one of 240 ms.
 	state.prefillEstimator.recordSent(servers[1], 3200, 0, 0);
 	expect(choose(state, request)).toBe('engine-1');
 	state.prefillEstimator.recordSent(servers[1], 1600, 0, 0);
 	expect(choose(state, request)).toBe('engine-0');
 });
 
-test('a cache is forgotten with its engine, and once as much as it holds has been sent after it', () => {
+test('cached prefixes expire when the engine is removed, and once the cache size in tokens has been sent since', () => {
 	const index = new PrefixIndex();
 	const prefixes = {hashes: ['a'], firstTokens: 500};
 	index.recordSent(servers[0].id, 1000, ['a']);
@@ -82,7 +82,7 @@
 	expect(index.findCached(prefixes)).toEqual(new Map());
 });
 
-test('a server reads one long prompt at a time', () => {
+test('a server prefills one long prompt at a time', () => {
 	const state = createState();
 	for (const server of servers) {
 		state.prefillEstimator.recordSent(server, 100_000, 0, 0);
@@ -92,7 +92,7 @@
 	expect(choose({...state, now: 4990}, describeRequest(50_000))).toBe('engine-0');
 });
 
-test('an engine that is faster than declared is found out when its work ends', () => {
+test('the end of a request corrects the estimate for an engine that is faster than declared', () => {
 	const state = createState();
 	const first = state.prefillEstimator.recordSent(servers[0], 1_000_000, 0, 0);
 	state.prefillEstimator.recordSent(servers[1], 1_000_000, 0, 0);
@@ -101,7 +101,7 @@
 	expect(choose({...state, now: 1000}, describeRequest(50_000))).toBe('engine-0');
 });
 
-test('a place is kept where room comes first, and only what is out of its way may pass', () => {
+test('the server that first has enough memory is reserved, and other requests may use it only if they do not delay the reserved one', () => {
 	const state = createState();
 	const hold = (server: number, tokens: number, expectedHold: number) => {
 		state.ledger.hold({
@@ -130,7 +130,7 @@
 	expect(reservation.isDelayedBy(servers[0], describeRequest(280_000), {cachedTokens: 0, freeTokens: 0}, 0)).toBe(false);
 });
 
-test('a rate may burst by a minute\'s worth and tells when to come back', () => {
+test('the rate limiter allows a burst of one minute\'s quota and returns the time until the next request fits', () => {
 	const limiter = new RateLimiter<string>();
 	const waits = [1, 2, 3, 4].map(() => limiter.take('o', 30, 90, 0));
 	expect(waits).toEqual([0, 0, 0, 20_000]);
--- a/test/predict-waits.test.ts
+++ b/test/predict-waits.test.ts
@@ -4,7 +4,7 @@
 const short = 2000;
 const long = 200_000;
 
-/** Serves one request of a length every second for ten seconds, while another waits; returns the time after it. */
+/** Serves one request of a length per second for ten seconds, while another waits; returns the end time. */
 function serve(predictor: WaitPredictor, promptTokens: number, tokens: number, from: number): number {
 	for (let second = 0; second < 10; second++) {
 		const start = from + (second * 1000);
@@ -17,20 +17,20 @@
 	return from + 10_000;
 }
 
-test('nothing is predicted before anything of the length has been served', () => {
+test('no wait is predicted before a request of the length class has been served', () => {
 	const predictor = new WaitPredictor();
 	predictor.recordWaiting(long, 0);
 	expect(predictor.predictWait(long, 500_000, 1000)).toBeUndefined();
 });
 
-test('a wait is what is ahead over the rate at which its length is served', () => {
+test('the predicted wait is the tokens ahead divided by the service rate of the length class', () => {
 	const predictor = new WaitPredictor();
 	const now = serve(predictor, long, 200_000, 0);
 	predictor.recordWaiting(long, now);
 	expect(predictor.predictWait(long, 600_000, now)).toBe(3000);
 });
 
-test('short requests that pass say nothing of long ones', () => {
+test('service of short requests does not affect the prediction for long ones', () => {
 	const predictor = new WaitPredictor();
 	const now = serve(predictor, short, 2000, serve(predictor, long, 200_000, 0));
 	predictor.recordWaiting(long, now);
@@ -39,14 +39,14 @@
 	expect(predictor.predictWait(short, 6000, now)).toBe(3000);
 });
 
-test('time in which nothing waits is no slow service', () => {
+test('time in which no request waits does not lower the service rate', () => {
 	const predictor = new WaitPredictor();
 	const now = serve(predictor, long, 200_000, 0) + 3_600_000;
 	predictor.recordWaiting(long, now);
 	expect(predictor.predictWait(long, 600_000, now)).toBe(3000);
 });
 
-test('while a length that waits is not served at all, its prediction grows', () => {
+test('the predicted wait grows while a length class with waiting requests is not served', () => {
 	const predictor = new WaitPredictor();
 	const now = serve(predictor, long, 200_000, 0);
 	predictor.recordWaiting(long, now);
