--- a/src/node/membership/entry-checker.ts
+++ b/src/node/membership/entry-checker.ts
@@ -1,23 +1,23 @@
-/** What is known of an entry that a dispatcher does not hear: whether it is gone, or only the path to it. */
+/** Determines whether an entry node whose heartbeats are missing is gone, or only unreachable from this node. */
 import type {Incarnation, PoolId} from '../../common/index.js';
 import type {NodeClients} from '../../rpc/index.js';
 import type {Grant} from '../dispatch/index.js';
 import type {Member, Members} from './members.js';
 import type {IndirectProbe} from './indirect-probe.js';
 
-/** Time for an entry to say which grants it holds, in milliseconds. */
+/** Timeout for an entry node to list its grants, in milliseconds. */
 const listTimeout = 1000;
 
-/** What became of an entry. */
+/** The state of an entry node. */
 export type EntryState =
-	/** It answers, and holds these grants: only its heartbeats are lost. */
+	/** It answers and holds these grants; only its heartbeats were lost. */
 	| {kind: 'reachable'; grants: Grant[]}
-	/** It does not answer here, and another node reaches it, or this node reaches nobody. */
+	/** It does not answer this node, but another node reaches it, or this node reaches no other node. */
 	| {kind: 'unreachable'}
-	/** The platform has dropped it, or others don't reach it either. */
+	/** The platform has removed it, or other nodes cannot reach it either. */
 	| {kind: 'gone'};
 
-/** Looks after entries. */
+/** Checks the state of entry nodes. */
 export class EntryChecker {
 	readonly #members: Members;
 	readonly #clients: NodeClients;
@@ -29,13 +29,13 @@
 		this.#indirectProbe = indirectProbe;
 	}
 
-	/** Looks after the entry of an incarnation. */
+	/** Checks the entry node with an incarnation. */
 	async check(entry: Incarnation, pool: PoolId): Promise<EntryState> {
 		const member = this.#members.listAll().find(({incarnation}) => incarnation === entry);
 		return member === undefined ? {kind: 'gone'} : this.#checkMember(member, pool);
 	}
 
-	/** Looks after all registered entries. */
+	/** Checks all registered entry nodes. */
 	async checkAll(pool: PoolId): Promise<EntryState[]> {
 		return Promise.all(this.#members.listAll().map(async member => this.#checkMember(member, pool)));
 	}
--- a/src/node/membership/gateway.ts
+++ b/src/node/membership/gateway.ts
@@ -1,4 +1,4 @@
-/** Reaches a pool's dispatcher, on this node or another. */
+/** Connects entry nodes with the dispatcher of a pool, on this node or another. */
 import {type Either, Left, Right} from 'purify-ts';
 import {
 	createFailure, joinSignals, readIncarnationUrl, type Clock, type Failure, type Incarnation, type PoolId,
@@ -10,11 +10,11 @@
 import type {PoolHost} from './pool-host.js';
 import type {Reconciler} from './reconciler.js';
 
-/** Added to a request's patience before its admission counts as lost, in milliseconds. */
+/** Added to the `patience` of a request before its admission call times out, in milliseconds. */
 const admitMargin = 500;
 const heartbeatTimeout = 1000;
 
-/** What the gateway needs. */
+/** Dependencies of the gateway. */
 export type GatewayParts = {
 	self: Incarnation;
 	view: FleetView;
@@ -24,10 +24,10 @@
 	clock: Clock;
 };
 
-/** Routes admissions and heartbeats by the term records in the view. */
+/** Routes admissions and heartbeats by the term records in the fleet view. */
 export class PoolGateway extends DispatcherGateway {
 	readonly #parts: GatewayParts;
-	/** Fired and replaced whenever a term changes: what waits on an ended term asks again. */
+	/** Aborted and replaced whenever a term changes, so that requests waiting on an ended term are sent again. */
 	#termChanged = new AbortController();
 
 	constructor(parts: GatewayParts) {
@@ -53,7 +53,7 @@
 			: this.#admitRemotely(target, pool, request, signal);
 	}
 
-	/** Asks the dispatcher on this node; a withdrawn request leaves the queue. */
+	/** Admits a request at the dispatcher of this node; aborting the signal withdraws it. */
 	async admitLocally(pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
 		const dispatcher = this.#parts.host.findDispatcher(pool);
 		if (dispatcher === undefined) {
@@ -68,7 +68,7 @@
 		const result = await dispatcher.admit(request);
 		signal.removeEventListener('abort', withdraw);
 		if (signal.aborted) {
-			// The asker is gone: nobody would give the grant back.
+			// The caller is gone and would never release the grant.
 			result.ifRight(grant => {
 				dispatcher.reclaim(grant.grantId);
 			});
@@ -89,7 +89,7 @@
 			: Left(createNoDispatcherFailure(heartbeat.pool));
 	}
 
-	/** Takes a heartbeat for a dispatcher on this node; false when there is none. */
+	/** Passes a heartbeat to the dispatcher on this node; false if there is none. */
 	acceptHeartbeat(heartbeat: Heartbeat): boolean {
 		const dispatcher = this.#parts.host.findDispatcher(heartbeat.pool);
 		if (dispatcher === undefined) {
@@ -121,7 +121,7 @@
 		return 'grant' in answer ? Right(answer.grant) : Left(answer.failure);
 	}
 
-	/** Delivers a heartbeat to a node; false when it does not decide for the pool or does not answer. */
+	/** Delivers a heartbeat to a node; false if it does not run the pool's dispatcher or does not answer. */
 	async #deliver(holder: Incarnation, heartbeat: Heartbeat): Promise<boolean> {
 		if (holder === this.#parts.self) {
 			return this.acceptHeartbeat(heartbeat);
@@ -138,5 +138,5 @@
 }
 
 function createNoDispatcherFailure(pool: PoolId): Failure {
-	return createFailure('no_dispatcher', `no node decides for ${pool} at present`);
+	return createFailure('no_dispatcher', `no node schedules ${pool} at present`);
 }
--- a/src/node/membership/indirect-probe.ts
+++ b/src/node/membership/indirect-probe.ts
@@ -1,18 +1,18 @@
-/** What other nodes see of a node that this one cannot reach: silence may be this node's own, or that of one path. */
+/** Indirect probes: asks other nodes whether they reach a node, since this node or a single path may be at fault. */
 import {orderByRendezvous, type Incarnation} from '../../common/index.js';
 import type {NodeClients} from '../../rpc/index.js';
 import type {Member, Members} from './members.js';
 
-/** Time for an opinion, in milliseconds: the asked node pings within 400. */
+/** Timeout of an indirect probe, in milliseconds: the probing node pings within 400. */
 const probeTimeout = 1000;
 
-/** Nodes asked for a second opinion. */
+/** Number of nodes asked to probe. */
 const proberCount = 2;
 
-/** What others say of a node: one reaches it, those that answer do not, nobody answers though others are registered, or there is nobody else. */
+/** Whether other nodes reach a node: one does; none that answered does; none answered; or no other node is registered. */
 export type PeerReachability = 'reached' | 'unreached' | 'unknown' | 'alone';
 
-/** Asks others about a node. */
+/** Asks other nodes to probe a node. */
 export class IndirectProbe {
 	readonly #members: Members;
 	readonly #clients: NodeClients;
@@ -24,7 +24,7 @@
 		this.#self = self;
 	}
 
-	/** Whether others reach a node. A node that nobody answers is cut off itself, and knows nothing of anyone. */
+	/** Probes a node through others. If no other node answers, this node may itself be partitioned and the result is unknown. */
 	async probe(peer: Member): Promise<PeerReachability> {
 		const isOther = (member: Member) => member.incarnation !== this.#self && member.incarnation !== peer.incarnation;
 		const others = this.#members.listReady().filter(member => isOther(member));
--- a/src/node/membership/members.ts
+++ b/src/node/membership/members.ts
@@ -1,8 +1,8 @@
-/** The nodes of the system as this node sees them, put together from every source that says something of them. */
+/** The nodes of the system as seen by this node, combined from all sources. */
 import type {BoxId, Incarnation} from '../../common/index.js';
 import type {Entry, FleetView} from '../config/index.js';
 
-/** A node that has registered. */
+/** A registered node. */
 export type Member = {
 	box: BoxId;
 	incarnation: Incarnation;
@@ -12,13 +12,13 @@
 	nodeUrl: string;
 };
 
-/** Combines registrations, the platform's live list, peers' words and failed pings. */
+/** Combines registrations, the platform's list of live boxes, announcements of peers and failed pings. */
 export class Members {
 	readonly #view: FleetView;
 	readonly #leaving = new Set<Incarnation>();
 	readonly #suspected = new Set<Incarnation>();
 	#version = 0;
-	/** Worked out once a change: with 400 nodes, doing it at each look took most of a core (docs/CAPACITY.md). */
+	/** Computed once per change: with 400 nodes, computing it on every read took most of a core (docs/CAPACITY.md). */
 	#cached: {all: Member[]; ready: Member[]; readyIds: Set<Incarnation>} | undefined;
 
 	constructor(view: FleetView) {
@@ -30,39 +30,39 @@
 		});
 	}
 
-	/** Rises whenever the answers of this object may have changed. */
+	/** Incremented whenever the results of this object may have changed. */
 	get version(): number {
 		return this.#version;
 	}
 
-	/** Lists all registered nodes, whatever their state. */
+	/** Lists all registered nodes, in any state. */
 	listAll(): Member[] {
 		return this.#read().all;
 	}
 
-	/** Lists the nodes that callers may be sent to and that may take pools. */
+	/** Lists the nodes that can receive callers and take over pools. */
 	listReady(): Member[] {
 		return this.#read().ready;
 	}
 
-	/** Whether an incarnation is the present one of its box and none of the sources says that it is gone or leaving. */
+	/** Whether an incarnation is the current one of its box and no source reports it as gone or leaving. */
 	isReady(incarnation: Incarnation): boolean {
 		return this.#read().readyIds.has(incarnation);
 	}
 
-	/** Whether the platform's live list has dropped the box of an incarnation. */
+	/** Whether the box of an incarnation is missing from the platform's list of live boxes. */
 	isDropped(incarnation: Incarnation): boolean {
 		const member = this.listAll().find(candidate => candidate.incarnation === incarnation);
 		return member === undefined || (this.#view.list('LiveBox').length > 0 && !this.#view.list('LiveBox').some(box => box.name === member.box));
 	}
 
-	/** Notes a node's own word that it leaves. */
+	/** Records that a node has announced that it is leaving. */
 	recordLeaving(incarnation: Incarnation): void {
 		this.#leaving.add(incarnation);
 		this.#invalidate();
 	}
 
-	/** Notes whether a node answers pings. */
+	/** Records whether a node answers pings. */
 	recordReachability(incarnation: Incarnation, isReachable: boolean): void {
 		if (isReachable === !this.#suspected.has(incarnation)) {
 			return;
@@ -77,7 +77,7 @@
 		this.#invalidate();
 	}
 
-	/** Forgets words about incarnations that are no longer registered. */
+	/** Removes records of incarnations that are no longer registered. */
 	prune(): void {
 		const known = new Set(this.listAll().map(member => member.incarnation));
 		for (const incarnations of [this.#leaving, this.#suspected]) {
@@ -102,7 +102,7 @@
 	#compute(): {all: Member[]; ready: Member[]; readyIds: Set<Incarnation>} {
 		const nodes = this.#view.list('Node');
 		const live = new Set(this.#view.list('LiveBox').filter(box => box.state === 'live').map(box => box.name));
-		// A platform that keeps no live list says nothing about anyone.
+		// A platform without a list of live boxes gives no information about any node.
 		const hasList = this.#view.list('LiveBox').length > 0;
 		const ready = nodes
 			.filter(node => node.state === 'ready' && (!hasList || live.has(node.name)))
--- a/src/node/membership/peer-monitor.ts
+++ b/src/node/membership/peer-monitor.ts
@@ -1,9 +1,8 @@
 /**
- * Watches a few peers by pings.
+ * Failure detection by pings.
  *
- * Each node watches the peers that rendezvous hashing gives it, and those whose
- * pools it would take over; never all. A peer that misses several pings is
- * suspected only when another node cannot reach it either.
+ * Each node pings the peers that rendezvous hashing assigns to it and those whose pools it would take over, never all.
+ * A peer that misses several pings is suspected unless another node reaches it.
  */
 import {
 	Child, orderByRendezvous, waitFor, type Clock, type Incarnation, type Logger,
@@ -12,7 +11,7 @@
 import type {Member, Members} from './members.js';
 import {IndirectProbe} from './indirect-probe.js';
 
-/** Peers watched by each node. */
+/** Number of peers that each node pings, besides those whose pools it would take over. */
 export const watchedPeerCount = 3;
 
 /** Time between pings, in milliseconds. */
@@ -20,19 +19,19 @@
 
 const pingTimeout = 400;
 
-/** Pings missed in a row before a second opinion is asked. */
+/** Consecutive missed pings tolerated before an indirect probe. */
 const maxMissedPings = 2;
 
-/** What the monitor needs. */
+/** Dependencies of the monitor. */
 export type PeerMonitorParts = {
 	clock: Clock;
 	logger: Logger;
 	self: Incarnation;
-	/** Names the incarnations whose pools this node is next to take. */
+	/** Lists the incarnations whose pools this node would take over. */
 	listHolders: () => Incarnation[];
 };
 
-/** Pings peers and notes who does not answer. */
+/** Pings peers and records which of them do not answer. */
 export class PeerMonitor extends Child {
 	override readonly name = 'peer-monitor';
 	readonly #members: Members;
@@ -70,7 +69,7 @@
 		return [...others.slice(0, watchedPeerCount), ...others.slice(watchedPeerCount).filter(member => holders.has(member.incarnation))];
 	}
 
-	/** All others in rendezvous order, worked out once a change of the members. */
+	/** All other nodes in rendezvous order, computed once per change of the members. */
 	#orderOthers(): Member[] {
 		if (this.#order.version !== this.#members.version) {
 			const others = this.#members.listAll().filter(member => member.incarnation !== this.#self);
@@ -90,7 +89,7 @@
 
 		const missed = (this.#missed.get(peer.incarnation) ?? 0) + 1;
 		this.#missed.set(peer.incarnation, missed);
-		// Another incarnation at the address is proof; silence may be this node's own.
+		// Another incarnation at the address proves the replacement; a missing answer may be a network fault of this node.
 		const isReplaced = answer !== undefined;
 		if (isReplaced || (missed > maxMissedPings && await this.#indirectProbe.probe(peer) !== 'reached')) {
 			this.#logger.warn({event: 'peer_suspected', box: peer.box, missed}, 'a node does not answer');
--- a/src/node/membership/pool-host.ts
+++ b/src/node/membership/pool-host.ts
@@ -1,9 +1,8 @@
 /**
- * Holds the dispatchers of the pools whose terms this node has.
+ * Runs the dispatchers of the pools whose terms this node holds.
  *
- * A pool's term is a record in the platform that changes only on takeover, by a
- * conditional update. The node that rendezvous hashing puts first among the ready
- * nodes of the pool's region takes a term whose holder is no longer ready.
+ * A term is a record in the platform, replaced by a conditional update on takeover. When its holder is no longer ready,
+ * the first ready node of the pool's region in rendezvous order takes over.
  */
 import {
 	Child, createFailure, orderByRendezvous, waitFor, type BoxId, type Clock, type IdSource, type Incarnation, type Logger, type Metrics, type PoolId, type ServiceName,
@@ -18,7 +17,7 @@
 import {IndirectProbe} from './indirect-probe.js';
 import {ViewDirectory} from './view-directory.js';
 
-/** What a pool host needs. */
+/** Dependencies of a pool host. */
 export type PoolHostParts = {
 	platform: Platform;
 	view: FleetView;
@@ -29,41 +28,41 @@
 	logger: Logger;
 	metrics: Metrics;
 	self: {box: BoxId; incarnation: Incarnation; region: string};
-	/** Whether this node may take terms at present. */
+	/** Whether this node may currently take over terms. */
 	isEligible: () => boolean;
 };
 
 const checkInterval = 100;
 
-/** Time allowed for nodes to say which grants they hold, in milliseconds. */
+/** Timeout for nodes to list their grants, in milliseconds. */
 const collectTimeout = 500;
 
 /**
- * Time for which a term is not taken back from the node that took it, unless others say that it is gone, in milliseconds.
+ * Time before a term is taken back from the node that took it over, unless other nodes cannot reach that node either, in milliseconds.
  *
- * It lives: it has written the term. Two nodes that did not reach each other took a pool from each other 131 times in 15 s without it.
+ * That node was alive when it wrote the term. Without the delay, two nodes that could not reach each other took over a pool 131 times in 15 s.
  */
 const reclaimDelay = 20_000;
 
-/** What became of a write of a term. */
+/** Result of writing a term. */
 type TermWriteResult = 'stored' | 'refused' | 'unreachable';
 
-/** Pause after a takeover that failed, in milliseconds. */
+/** Pause after a failed takeover, in milliseconds. */
 const takeoverPause = 500;
 
-/** Runs this node's dispatchers. */
+/** Runs the dispatchers of this node. */
 export class PoolHost extends Child {
 	override readonly name = 'pool-host';
 	readonly #parts: PoolHostParts;
 	readonly #directory: PoolDirectory;
 	readonly #dispatchers = new Map<PoolId, Dispatcher>();
-	/** Candidates in rendezvous order, worked out once a change of the members. */
+	/** Candidates in rendezvous order, computed once per change of the members. */
 	#candidates = {version: -1, byPool: new Map<PoolId, Member[]>()};
 	readonly #pausedUntil = new Map<PoolId, number>();
-	/** Who took a term from this node, and until when it is left to that one. */
+	/** For each term taken from this node, the new holder and the monotonic time until which it is not taken back. */
 	readonly #newHolders = new Map<PoolId, {holder: Incarnation; until: number}>();
 	readonly #indirectProbe: IndirectProbe;
-	/** Backend servers that do not answer. */
+	/** Unreachable backend servers. */
 	readonly #unreachable = new Set<string>();
 
 	constructor(parts: PoolHostParts) {
@@ -82,22 +81,22 @@
 		});
 	}
 
-	/** Finds the dispatcher of a pool, if it runs here. */
+	/** Finds the dispatcher of a pool, if it runs on this node. */
 	findDispatcher(pool: PoolId): Dispatcher | undefined {
 		return this.#dispatchers.get(pool);
 	}
 
-	/** The node that stands in for a pool's holder while the platform cannot be reached. */
+	/** The node that replaces a pool's term holder while the platform is unreachable. */
 	findStandIn(pool: PoolId, holder: Incarnation | undefined): Member | undefined {
 		return this.#listCandidates(pool).find(member => member.incarnation !== holder);
 	}
 
-	/** Lists the dispatchers that run here. */
+	/** Lists the dispatchers on this node. */
 	listDispatchers(): Dispatcher[] {
 		return [...this.#dispatchers.values()];
 	}
 
-	/** Lists the holders of terms that this node is next, or next but one, to take. */
+	/** Lists the holders of terms for which this node is the first or second successor. */
 	listWatchedHolders(): Incarnation[] {
 		return this.#parts.view.listPools(this.#parts.self.region).flatMap((pool): Incarnation[] => {
 			const record = this.#parts.view.find('DispatcherTerm', pool);
@@ -112,7 +111,7 @@
 		});
 	}
 
-	/** Notes whether a backend server answers. */
+	/** Records whether a backend server is reachable. */
 	recordServerReachability(name: string, isReachable: boolean): void {
 		if (this.#unreachable.has(name) !== isReachable) {
 			return;
@@ -124,7 +123,7 @@
 			this.#unreachable.add(name);
 		}
 
-		this.#parts.logger.info({event: 'backend_server_state', backendServer: name, isReachable}, 'a backend server changed state');
+		this.#parts.logger.info({event: 'backend_server_state', backendServer: name, isReachable}, 'backend server reachability changed');
 		this.#refreshServers();
 	}
 
@@ -140,7 +139,7 @@
 		}
 	}
 
-	/** Hands every pool to the node that comes next, so that no time passes without grants. */
+	/** Hands every pool over to its successor, so that granting is not interrupted. */
 	async handOver(): Promise<void> {
 		await Promise.all(this.listDispatchers().map(async dispatcher => {
 			const next = this.#listCandidates(dispatcher.pool).find(member => member.incarnation !== this.#parts.self.incarnation);
@@ -150,7 +149,7 @@
 			}
 
 			if (await this.#writeTerm(dispatcher.pool, next, record) === 'stored') {
-				this.#parts.logger.info({event: 'term_handed_over', pool: dispatcher.pool, to: next.box}, 'handed a pool over');
+				this.#parts.logger.info({event: 'term_handed_over', pool: dispatcher.pool, to: next.box}, 'pool handed over');
 			}
 		}));
 	}
@@ -204,7 +203,7 @@
 		}
 	}
 
-	/** Whether a pool is left to the node that took it from this one. */
+	/** Whether a pool may not be taken back yet from the node that took it over from this one. */
 	async #isReclaimDelayed(pool: PoolId, holder: Incarnation): Promise<boolean> {
 		const newHolder = this.#newHolders.get(pool);
 		if (newHolder?.holder !== holder || this.#parts.clock.readMonotonic() >= newHolder.until || this.#parts.members.isDropped(holder)) {
@@ -215,7 +214,7 @@
 		return member !== undefined && await this.#indirectProbe.probe(member) !== 'unreached';
 	}
 
-	/** Writes a term for a holder, and finds out whether it is stored. */
+	/** Writes a term for a holder and determines whether it is stored. */
 	async #writeTerm(pool: PoolId, holder: Member, record: Entry<'DispatcherTerm'> | undefined): Promise<TermWriteResult> {
 		const spec = {holder: holder.box, incarnation: holder.incarnation, term: (record?.term ?? 0) + 1};
 		const written = await this.#parts.platform.writeObject({kind: 'DispatcherTerm', metadata: {name: pool}, spec}, record?.version ?? 0);
@@ -224,7 +223,7 @@
 			return 'stored';
 		}
 
-		// The write may have taken effect although its reply was lost: the stored record tells.
+		// The write may have succeeded although its response was lost, so the stored record is read.
 		const read = await this.#parts.platform.readObject('DispatcherTerm', pool);
 		if (read.isLeft()) {
 			return 'unreachable';
@@ -245,14 +244,13 @@
 			return;
 		}
 
-		present?.close(createFailure('no_dispatcher', `a term of ${pool} has begun`));
+		present?.close(createFailure('no_dispatcher', `a new term of ${pool} has started`));
 		await this.#runDispatcher(pool, record.term, false);
 	}
 
 	/**
-	 * Decides for a pool without a term while the platform cannot be reached and the
-	 * holder is gone. It only grants: it cancels nothing that it does not know, since
-	 * the holder may live where this node cannot see it.
+	 * Schedules a pool without a term while the platform is unreachable and the holder is gone. Work that no
+	 * grant covers is not cancelled, since the holder may still be running where this node cannot reach it.
 	 */
 	async #startProvisional(pool: PoolId, term: number): Promise<void> {
 		if (!this.#dispatchers.has(pool)) {
@@ -278,10 +276,10 @@
 		dispatcher.open();
 		this.#parts.logger.info({
 			event: 'term_started', pool, term, isProvisional, adopted: grants.length,
-		}, 'this node decides for a pool');
+		}, 'this node schedules a pool');
 	}
 
-	/** Asks every registered node for the grants it holds. Those that do not answer in time are found through the engines later. */
+	/** Collects the grants of all registered nodes. Work of nodes that do not answer in time is found through the engines later. */
 	async #collectGrants(pool: PoolId): Promise<Grant[]> {
 		const answers = await Promise.all(this.#parts.members.listAll().map(async member =>
 			this.#parts.clients.ask(member.nodeUrl, collectTimeout, async (client, signal) => client.listGrants.query({pool}, {signal}))));
@@ -317,7 +315,7 @@
 		}
 	}
 
-	/** The holder of the term is back: a node that stood in for it yields. */
+	/** Ends a dispatcher without a term once the term holder is ready again. */
 	#endProvisional(pool: PoolId): void {
 		const dispatcher = this.#dispatchers.get(pool);
 		if (dispatcher?.isProvisional) {
@@ -328,6 +326,6 @@
 	#endDispatcher(dispatcher: Dispatcher): void {
 		this.#dispatchers.delete(dispatcher.pool);
 		dispatcher.close(createFailure('no_dispatcher', `term ${dispatcher.term} of ${dispatcher.pool} has ended`));
-		this.#parts.logger.info({event: 'term_ended', pool: dispatcher.pool, term: dispatcher.term}, 'another node decides for a pool');
+		this.#parts.logger.info({event: 'term_ended', pool: dispatcher.pool, term: dispatcher.term}, 'another node schedules a pool');
 	}
 }
--- a/src/node/membership/reconciler.ts
+++ b/src/node/membership/reconciler.ts
@@ -1,13 +1,10 @@
 /**
- * Keeps ledgers and engines in step, so that no memory is lost to work nobody waits for.
+ * Reconciles ledgers with engines once a second, so that abandoned work holds no memory: reclaims the grants of entry
+ * nodes that are gone, and cancels running requests that no grant covers after a grace period longer than a grant's lifetime.
  *
- * Once a second, for each pool decided here: grants of entries that are gone are
- * cancelled and taken back; engines' running requests that no grant covers are
- * cancelled after a grace longer than a grant's life.
- *
- * A path that is lost between two nodes is no reason to cancel: an entry counts as gone only when others do not reach it
- * either, and work that nobody claims is left while an entry that may live could not be asked. Cancelled after six
- * seconds of silence alone, an answer of fourteen seconds was cut behind a lost path though all but the path was well.
+ * A lost network path between two nodes must not cancel work: an entry node counts as gone only when other nodes cannot
+ * reach it either, and unclaimed work is kept while an entry node that may be running is unreachable. Cancelling after
+ * six seconds of silence alone truncated an answer of fourteen seconds when only the path was lost.
  */
 import type {Canceller, EngineClient} from '../../backends/index.js';
 import {
@@ -23,7 +20,7 @@
 import type {PoolHost} from './pool-host.js';
 import {IndirectProbe} from './indirect-probe.js';
 
-/** What the reconciler needs. */
+/** Dependencies of the reconciler. */
 export type ReconcilerParts = {
 	host: PoolHost;
 	view: FleetView;
@@ -38,25 +35,25 @@
 
 const reconcileInterval = 1000;
 
-/** How long unclaimed work may run before it is cancelled, in milliseconds. */
+/** Time for which unclaimed work may run before it is cancelled, in milliseconds. */
 export const unclaimedGrace = grantLifetime + reclaimMargin + 1000;
 
-/** Failed looks in a row before an engine is closed to new work. */
+/** Consecutive failed checks tolerated before an engine is closed to new work. */
 const maxMissedChecks = 1;
 
-/** A request that an engine holds. */
+/** A request running on an engine. */
 type RunningRequest = {requestId: RequestId; url: string};
 
-/** Reconciles the pools decided on this node. */
+/** Reconciles the pools scheduled by this node. */
 export class Reconciler extends Child {
 	override readonly name = 'reconciler';
 	readonly #parts: ReconcilerParts;
 	readonly #entryChecker: EntryChecker;
-	/** Monotonic time at which unclaimed work was first seen. */
+	/** Monotonic time at which unclaimed work was first observed. */
 	readonly #unclaimed = new Map<RequestId, number>();
 	readonly #missed = new Map<BackendServerId, number>();
 	readonly #mismatches = new Set<string>();
-	/** Entries that are not heard here and may live. */
+	/** Entry nodes that may be running but are unreachable from this node. */
 	readonly #unreachableEntries = new Set<Incarnation>();
 
 	constructor(parts: ReconcilerParts) {
@@ -65,7 +62,7 @@
 		this.#entryChecker = new EntryChecker(parts.members, parts.clients, new IndirectProbe(parts.members, parts.clients, parts.self));
 	}
 
-	/** Notes that an entry and a dispatcher disagree on the grants held. */
+	/** Records that an entry node and a dispatcher differ in the grants held. */
 	recordMismatch(pool: PoolId, entry: Incarnation): void {
 		this.#mismatches.add(`${pool} ${entry}`);
 	}
@@ -128,7 +125,7 @@
 		}));
 	}
 
-	/** Grants of an entry whose word does not come through: only the engines say when their work has ended. */
+	/** Reclaims finished grants of an unreachable entry node: only the engines show whether their work has ended. */
 	#reclaimFinished(dispatcher: Dispatcher, entry: Incarnation, grants: Grant[], running: RunningRequest[]): void {
 		const ended = grants.filter(grant => this.#isReachable(grant.backendServer) && running.every(work => work.requestId !== grant.requestId));
 		for (const {grantId} of ended) {
@@ -139,12 +136,12 @@
 			this.#unreachableEntries.add(entry);
 			this.#parts.logger.warn({
 				event: 'entry_unheard', pool: dispatcher.pool, entry, grants: grants.length, ended: ended.length,
-			}, 'an entry that may live is not heard here; its work goes on');
+			}, 'an entry node that may be running is unreachable; its work continues');
 		}
 	}
 
 	async #reclaimOrphan(dispatcher: Dispatcher, grant: Grant, isEngine: boolean): Promise<void> {
-		// A plain service keeps no list and takes no cancel: its slot comes back when its entry is known to be silent.
+		// A plain service can neither list nor cancel requests: its slot is reclaimed once its entry node is gone or unreachable.
 		if (isEngine && !await this.#parts.canceller.cancel(grant.url, grant.requestId)) {
 			return;
 		}
@@ -152,14 +149,14 @@
 		dispatcher.reclaim(grant.grantId);
 		this.#parts.logger.info({
 			event: 'orphan_reclaimed', request: grant.requestId, backendServer: grant.backendServer, tokens: grant.tokens,
-		}, 'memory of a silent entry was taken back');
+		}, 'memory of a silent entry node was reclaimed');
 	}
 
 	#isReachable(server: BackendServerId): boolean {
 		return !this.#missed.has(server);
 	}
 
-	/** What all engines that answer hold. */
+	/** Lists the requests running on all engines that answer. */
 	async #listRunning(service: ServiceName): Promise<RunningRequest[]> {
 		const lists = await Promise.all(this.#parts.view.listServers(service).map(async server => this.#checkEngine(server)));
 		return lists.flat();
@@ -182,7 +179,7 @@
 		});
 	}
 
-	/** Before anything is cancelled each entry is asked once more: a new dispatcher may not have reached the one that holds it. */
+	/** Checks every entry node again before cancelling: a new dispatcher may not have reached the one that holds the grant. */
 	async #cancelUnclaimed(dispatcher: Dispatcher, running: RunningRequest[]): Promise<void> {
 		const claimed = new Set(dispatcher.ledger.listGrants().map(held => held.grant.requestId));
 		const due = dispatcher.isProvisional ? [] : running.filter(work => this.#isOverdue(work.requestId, claimed));
@@ -200,7 +197,7 @@
 
 		for (const {requestId, url} of due.filter(work => !claimedNow.has(work.requestId))) {
 			this.#unclaimed.delete(requestId);
-			this.#parts.logger.info({event: 'unclaimed_cancelled', request: requestId, backendServer: url}, 'work that nobody claims is cancelled');
+			this.#parts.logger.info({event: 'unclaimed_cancelled', request: requestId, backendServer: url}, 'cancelling work that no grant covers');
 			void this.#parts.canceller.cancel(url, requestId);
 		}
 	}
@@ -217,7 +214,7 @@
 		return now - since >= unclaimedGrace;
 	}
 
-	/** Work not seen for long has ended by itself. */
+	/** Removes records of unclaimed work that has ended on its own. */
 	#pruneUnclaimed(): void {
 		const oldest = this.#parts.clock.readMonotonic() - (4 * unclaimedGrace);
 		for (const [requestId, since] of this.#unclaimed) {
--- a/src/node/membership/registration.ts
+++ b/src/node/membership/registration.ts
@@ -1,4 +1,4 @@
-/** Keeps this node's registration in the platform true. Comes back after a failure by reading what is stored. */
+/** Keeps the registration of this node in the platform up to date, and retries after failures. */
 import {
 	Child, waitFor, type Clock, type Logger,
 } from '../../common/index.js';
@@ -27,7 +27,7 @@
 		this.#describe = self.describe;
 	}
 
-	/** Compares with the view, which costs the platform nothing, and writes only what differs. */
+	/** Compares the registration with the local view, without load on the platform, and writes it only if it differs. */
 	override async run(signal: AbortSignal): Promise<void> {
 		let backoff = initialBackoff;
 		while (!signal.aborted) {
@@ -42,14 +42,14 @@
 		}
 	}
 
-	/** Writes the registration now; false when the platform did not confirm it. */
+	/** Writes the registration now; false if the platform did not confirm it. */
 	async write(): Promise<boolean> {
 		const known = this.#view.find('Node', this.#box);
 		const object = {kind: 'Node' as const, metadata: {name: this.#box}, spec: this.#describe()};
 		const written = await this.#platform.writeObject(object, known?.version ?? 0);
 		return written.caseOf({
 			Left: failure => {
-				this.#parts.logger.warn({event: 'registration_failed', reason: failure.message}, 'the registration was not confirmed');
+				this.#parts.logger.warn({event: 'registration_failed', reason: failure.message}, 'registration not confirmed');
 				return false;
 			},
 			Right: stored => {
--- a/src/node/membership/view-directory.ts
+++ b/src/node/membership/view-directory.ts
@@ -1,4 +1,4 @@
-/** The configuration in force as dispatchers ask for it, with policies compiled once a change. */
+/** Lookups of dispatchers in the fleet view, with policies compiled once per change. */
 import type {
 	Logger, OrganisationId, PartnerId, PoolId,
 } from '../../common/index.js';
@@ -8,7 +8,7 @@
 import type {FleetView} from '../config/index.js';
 import {PoolDirectory, type OrganisationSettings} from '../dispatch/index.js';
 
-/** Looks into the fleet view. */
+/** Looks up the configuration in the fleet view. */
 export class ViewDirectory extends PoolDirectory {
 	readonly #view: FleetView;
 	readonly #logger: Logger;
@@ -46,7 +46,7 @@
 
 	override findShare(pool: PoolId, partner: PartnerId): number {
 		const agreement = this.#view.find('ShareAgreement', pool);
-		// Without an agreement all partners are equal; a partner left out of one gets the least share in it.
+		// Without an agreement all partners are equal; a partner missing from it gets its smallest share.
 		const shares = Object.values(agreement?.shares ?? {});
 		return agreement?.shares[partner] ?? (shares.length === 0 ? 1 : Math.min(...shares));
 	}
@@ -67,6 +67,6 @@
 	}
 
 	#logProblems(partner: PartnerId, problems: PolicyProblem[]): void {
-		this.#logger.error({event: 'policy_unusable', partner, problems: problems.map(problem => formatPolicyProblem(problem))}, 'a stored policy cannot be used; its defaults are');
+		this.#logger.error({event: 'policy_unusable', partner, problems: problems.map(problem => formatPolicyProblem(problem))}, 'a stored policy cannot be used; the default policy applies');
 	}
 }
