--- a/src/backends/canceller.ts
+++ b/src/backends/canceller.ts
@@ -1,8 +1,7 @@
 /**
- * Cancels work on engines until each cancel is confirmed.
+ * Cancels requests on engines, with retries until the engine confirms.
  *
- * Cancelling is idempotent, so it is repeated as long as the engine cannot be
- * reached. Work given up here is still found by the reconciler of the pool's dispatcher.
+ * Cancelling is idempotent. Requests whose retries are exhausted are found later by the reconciler of the pool.
  */
 import {
 	type Clock, type Logger, type RequestId, waitFor,
@@ -25,12 +24,12 @@
 		this.#logger = logger;
 	}
 
-	/** Resolves with true once the engine has confirmed, with false when it could not be reached for long. */
+	/** Resolves with true once the engine has confirmed, or with false when all attempts have failed. */
 	async cancel(url: string, requestId: RequestId): Promise<boolean> {
 		let delay = initialDelay;
 		for (let attempt = 1; attempt <= maxAttempts; attempt++) {
 			const result = await this.#engines.cancel(url, requestId);
-			// An engine that does not know the request does not run it either.
+			// An engine that does not know the request is not running it.
 			if (result.caseOf({Left: failure => failure.kind === 'unknown_request', Right: () => true})) {
 				return true;
 			}
@@ -39,7 +38,7 @@
 			delay = Math.min(maxDelay, delay * 2);
 		}
 
-		this.#logger.warn({event: 'cancel_unconfirmed', request: requestId, backendServer: url}, 'an engine did not confirm a cancel');
+		this.#logger.warn({event: 'cancel_unconfirmed', request: requestId, backendServer: url}, 'an engine did not confirm a cancellation');
 		return false;
 	}
 }
--- a/src/backends/engine-client.ts
+++ b/src/backends/engine-client.ts
@@ -1,6 +1,6 @@
 /**
  * Client of an engine: OpenAI's completion API over HTTP with server-sent events,
- * plus resume, cancel and a list of what runs.
+ * plus resuming, cancelling and listing requests.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {request, type Dispatcher} from 'undici';
@@ -9,7 +9,7 @@
 import {EventStreamHandler, type EngineEvent} from './event-stream.js';
 import {classifyError, type BackendFailure} from './failure.js';
 
-/** The data of the event that ends a whole answer. */
+/** Data of the last event of a complete answer. */
 export const finishMarker = '[DONE]';
 
 const callTimeout = 2000;
@@ -28,7 +28,7 @@
 
 const runningSchema = z.object({requests: z.array(z.object({id: z.string()}))});
 
-/** Calls engines. Keeps connections open between calls. */
+/** Calls engines over persistent connections. */
 export class EngineClient {
 	readonly #dispatcher: Dispatcher;
 	readonly #clock: Clock;
@@ -38,7 +38,7 @@
 		this.#clock = clock;
 	}
 
-	/** Starts a completion; the events end early, without an error, when the connection breaks. */
+	/** Starts a completion. If the connection breaks, the events end early without an error. */
 	async startCompletion(call: EngineCall): Promise<Either<BackendFailure, AsyncIterable<EngineEvent[]>>> {
 		return this.#openStream(`${call.url}${call.path}`, {
 			method: 'POST',
@@ -47,7 +47,7 @@
 		}, call.signal);
 	}
 
-	/** Goes on with an answer after the last event received. */
+	/** Resumes an answer after the last event received. */
 	async resumeCompletion(url: string, requestId: RequestId, after: number, signal: AbortSignal): Promise<Either<BackendFailure, AsyncIterable<EngineEvent[]>>> {
 		return this.#openStream(`${url}/v1/requests/${requestId}/events`, {
 			method: 'GET',
@@ -55,20 +55,20 @@
 		}, signal);
 	}
 
-	/** Cancels a request and frees its memory. Right means that the engine no longer runs it. */
+	/** Cancels a request and frees its memory. `Right` confirms that the engine no longer runs it. */
 	async cancel(url: string, requestId: RequestId): Promise<Either<BackendFailure, true>> {
 		const answer = await this.#call('POST', `${url}/v1/requests/${requestId}/cancel`);
 		return answer.map(() => true as const);
 	}
 
-	/** Lists the requests that an engine holds. */
+	/** Lists the requests running on an engine. */
 	async listRunning(url: string): Promise<Either<BackendFailure, RequestId[]>> {
 		const answer = await this.#call('GET', `${url}/v1/requests`);
 		return answer.chain(text => {
 			const checked = runningSchema.safeParse(JSON.parse(text));
 			return checked.success
 				? Right(checked.data.requests.map(entry => entry.id as RequestId))
-				: Left({kind: 'lost' as const, message: 'the engine sent a list of requests in an unknown form'});
+				: Left({kind: 'lost' as const, message: 'the engine sent a list of requests in an unknown format'});
 		});
 	}
 
--- a/src/backends/event-stream.ts
+++ b/src/backends/event-stream.ts
@@ -1,8 +1,7 @@
 /**
- * Reads a stream of server-sent events straight from undici's dispatcher.
+ * Reads server-sent events directly from undici's dispatcher.
  *
- * The stream objects of undici's `request` cost more processor time for each token than all
- * else on the path (docs/MEASURES.md); a handler of its own needs none of them.
+ * The streams of undici's `request` took more CPU time per token than the rest of the path (docs/MEASURES.md).
  */
 import {StringDecoder} from 'node:string_decoder';
 import {createParser, type EventSourceParser} from 'eventsource-parser';
@@ -16,19 +15,19 @@
 	data: string;
 };
 
-/** The beginning of an answer. */
+/** The status of a response, with its text if it is not a stream. */
 export type StreamOpening = {
 	status: number;
-	/** The body of an answer that is not a stream; empty for streams. */
+	/** Body of a response that is not a stream; empty for streams. */
 	text: string;
 };
 
-/** Events held for a reader that is slower than the engine before the connection is paused. */
+/** Events buffered for a slow reader before the connection is paused. */
 const maxBufferedEvents = 64;
 
-/** Handles one request whose answer is a stream of events. */
+/** Handles one request whose response is a stream of events. */
 export class EventStreamHandler implements Dispatcher.DispatchHandler, AsyncIterable<EngineEvent[]> {
-	/** Settles with the beginning of the answer; rejects when there was none. */
+	/** Resolves once the response has started; rejects if there is none. */
 	readonly opened: Promise<StreamOpening>;
 	readonly #signal: AbortSignal;
 	readonly #decoder = new StringDecoder('utf8');
@@ -95,13 +94,13 @@
 		this.#resolveOpened({status: this.#status, text: this.#text});
 	}
 
-	/** A broken connection is the end of the events; the reader sees that the finish marker is missing. */
+	/** Ends the events when the connection breaks; the reader detects the missing finish marker. */
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
 		this.#end();
 		this.#rejectOpened(error);
 	}
 
-	/** Reads the events in the batches in which they arrive; leaving the loop early closes the connection. */
+	/** Yields the events in batches as they arrive; leaving the loop early closes the connection. */
 	async * [Symbol.asyncIterator](): AsyncGenerator<EngineEvent[]> {
 		try {
 			for (;;) {
--- a/src/backends/failure.ts
+++ b/src/backends/failure.ts
@@ -1,25 +1,25 @@
-/** How a call on a backend server can fail. */
+/** Failures of calls to backend servers. */
 import {readErrorMessage} from '../common/index.js';
 
-/** A call on a backend server that failed. */
+/** A failed call to a backend server. */
 export type BackendFailure = {
 	/**
-	 * `unreached`: nothing was sent, so nothing ran.
-	 * `busy`: refused before running; another may take it.
-	 * `rejected`: the request itself was refused before running.
+	 * `unreached`: the connection failed, so the request was not sent.
+	 * `busy`: refused before execution; another server may accept it.
+	 * `rejected`: the request itself was refused before execution.
 	 * `unknown_request`: the backend server does not know the request.
-	 * `lost`: sent, and the answer lost; it may have run.
+	 * `lost`: sent without a usable response; it may have been executed.
 	 */
 	kind: 'unreached' | 'busy' | 'rejected' | 'unknown_request' | 'lost';
 	message: string;
-	/** HTTP status, where there was one. */
+	/** HTTP status, if a response was received. */
 	status?: number;
 };
 
-/** Errors of a connection that was never made; the request cannot have been sent. */
+/** Connection errors after which the request cannot have been sent. */
 const connectErrors = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
-/** Tells from a thrown error whether the request can have reached the backend server. */
+/** Classifies an error by whether the request may have reached the backend server. */
 export function classifyError(error: unknown): BackendFailure {
 	const code = (error as {code?: string} | undefined)?.code ?? '';
 	const kind = connectErrors.has(code) ? 'unreached' : 'lost';
--- a/src/backends/plain-client.ts
+++ b/src/backends/plain-client.ts
@@ -1,9 +1,9 @@
-/** Client of a plain service: any HTTP call, passed on as it is. */
+/** Client of a plain service: forwards any HTTP call unchanged. */
 import {Left, Right, type Either} from 'purify-ts';
 import {request, type Dispatcher} from 'undici';
 import {classifyError, type BackendFailure} from './failure.js';
 
-/** A call on a plain service. */
+/** A call to a plain service. */
 export type PlainCall = {
 	method: string;
 	/** Full URL with query. */
@@ -13,17 +13,17 @@
 	signal: AbortSignal;
 };
 
-/** The beginning of an answer; its body is still to be read and throws when the connection breaks. */
+/** The head of a response; reading its body throws if the connection breaks. */
 export type PlainAnswer = {
 	status: number;
 	contentType: string | undefined;
 	contentLength: number | undefined;
-	/** The request id that the service echoed, if it does. */
+	/** The request id echoed by the service, if any. */
 	requestId: string | undefined;
 	body: AsyncIterable<Uint8Array>;
 };
 
-/** Calls plain services. Keeps connections open between calls. */
+/** Calls plain services over persistent connections. */
 export class PlainClient {
 	readonly #dispatcher: Dispatcher;
 
@@ -31,7 +31,7 @@
 		this.#dispatcher = dispatcher;
 	}
 
-	/** Makes one call; never repeats it. */
+	/** Makes one call, without retries. */
 	async call(call: PlainCall): Promise<Either<BackendFailure, PlainAnswer>> {
 		try {
 			const response = await request(call.url, {
