--- a/src/node/dispatch/wait-predictor.ts
+++ b/src/node/dispatch/wait-predictor.ts
@@ -1,76 +1,75 @@
 /**
- * Predicts how long a request will wait, from how fast requests of its length have been served. Pure.
+ * Predicts the wait of a request from the rate at which requests of its length class are served. Pure.
  *
- * Kept by engine priority: under overload short requests keep passing long ones, so
- * the memory that comes back says nothing of what a long one will get of it. Only
- * time in which something of the length waits counts: a quiet hour is no slow service.
+ * Rates are kept per engine priority: under overload short requests overtake long ones, so the total rate does not
+ * apply to long ones. Only time in which requests of the class wait counts, so that idle time does not lower the rate.
  */
-import {findPriority} from './prefill-board.js';
+import {computePriority} from './prefill-estimator.js';
 
-/** Weight of the newest interval in the moving average. */
+/** Weight of the latest interval in the exponential moving average. */
 const smoothing = 0.2;
 
-/** Interval over which a rate is taken, in milliseconds. */
-const interval = 1000;
+/** Interval over which a rate is measured, in milliseconds. */
+const rateInterval = 1000;
 
-type ServedRate = {
-	/** Tokens a millisecond; undefined before the first interval has passed. */
+type ServiceRate = {
+	/** Tokens per millisecond; undefined before the first interval has passed. */
 	rate: number | undefined;
 	tokens: number;
 	since: number;
-	/** Requests of the length that wait. */
+	/** Number of waiting requests of the class. */
 	waiting: number;
 };
 
-/** Follows the rates at which waiting requests are given places. */
+/** Measures the rates at which waiting requests are granted. */
 export class WaitPredictor {
-	readonly #rates = new Map<number, ServedRate>();
+	readonly #rates = new Map<number, ServiceRate>();
 
-	/** Notes that a request begins to wait, at a monotonic time in milliseconds. */
+	/** Records that a request has been queued, at a monotonic time in milliseconds. */
 	recordWaiting(promptTokens: number, now: number): void {
-		const priority = findPriority(promptTokens);
-		const served = this.#rates.get(priority) ?? {
+		const priority = computePriority(promptTokens);
+		const serviceRate = this.#rates.get(priority) ?? {
 			rate: undefined, tokens: 0, since: now, waiting: 0,
 		};
-		this.#rates.set(priority, served);
-		if (served.waiting === 0) {
-			served.tokens = 0;
-			served.since = now;
+		this.#rates.set(priority, serviceRate);
+		if (serviceRate.waiting === 0) {
+			serviceRate.tokens = 0;
+			serviceRate.since = now;
 		}
 
-		served.waiting++;
+		serviceRate.waiting++;
 	}
 
-	/** Notes that a request waits no more. Tokens: of one that was given its place, 0 of one that left. */
+	/** Records that a request has left the queue. `tokens` is its size if it was granted, otherwise 0. */
 	recordDone(promptTokens: number, tokens: number, now: number): void {
-		const served = this.#rates.get(findPriority(promptTokens));
-		if (served === undefined) {
+		const serviceRate = this.#rates.get(computePriority(promptTokens));
+		if (serviceRate === undefined) {
 			return;
 		}
 
-		served.waiting--;
-		served.tokens += tokens;
-		const elapsed = now - served.since;
-		if (elapsed < interval) {
+		serviceRate.waiting--;
+		serviceRate.tokens += tokens;
+		const elapsed = now - serviceRate.since;
+		if (elapsed < rateInterval) {
 			return;
 		}
 
-		const rate = served.tokens / elapsed;
-		served.rate = served.rate === undefined ? rate : (served.rate * (1 - smoothing)) + (rate * smoothing);
-		served.tokens = 0;
-		served.since = now;
+		const rate = serviceRate.tokens / elapsed;
+		serviceRate.rate = serviceRate.rate === undefined ? rate : (serviceRate.rate * (1 - smoothing)) + (rate * smoothing);
+		serviceRate.tokens = 0;
+		serviceRate.since = now;
 	}
 
-	/** Milliseconds until this many tokens of waiting requests of a length have been served; `undefined` while nothing is known. */
+	/** Predicts the milliseconds until this many tokens of a length class are served; `undefined` before a rate was measured. */
 	predictWait(promptTokens: number, tokens: number, now: number): number | undefined {
-		const served = this.#rates.get(findPriority(promptTokens));
-		if (served?.rate === undefined || served.waiting === 0) {
+		const serviceRate = this.#rates.get(computePriority(promptTokens));
+		if (serviceRate?.rate === undefined || serviceRate.waiting === 0) {
 			return undefined;
 		}
 
-		// Where nothing has been served for long, the old rate is no longer true.
-		const silence = Math.max(interval, now - served.since);
-		const rate = Math.min(served.rate, Math.max(served.tokens, served.rate * interval) / silence);
+		// Lowers the rate when nothing has been served for longer than the interval.
+		const elapsed = Math.max(rateInterval, now - serviceRate.since);
+		const rate = Math.min(serviceRate.rate, Math.max(serviceRate.tokens, serviceRate.rate * rateInterval) / elapsed);
 		return tokens / rate;
 	}
 }
--- a/src/node/membership/gateway.ts
+++ b/src/node/membership/gateway.ts
@@ -1,4 +1,4 @@
-/** Reaches a pool's dispatcher, on this node or another. */
+/** Connects entry nodes with the dispatcher of a pool, on this node or another. */
 import {type Either, Left, Right} from 'purify-ts';
 import {
 	createFailure, combineSignals, readIncarnationUrl, type Clock, type Failure, type Incarnation, type PoolId,
@@ -10,11 +10,11 @@
 import type {PoolHost} from './pool-host.js';
 import type {Reconciler} from './reconciler.js';
 
-/** Added to a request's patience before its admission counts as lost, in milliseconds. */
+/** Added to the `patience` of a request before its admission call times out, in milliseconds. */
 const admitMargin = 500;
 const heartbeatTimeout = 1000;
 
-/** What the gateway needs. */
+/** Dependencies of the gateway. */
 export type GatewayParts = {
 	self: Incarnation;
 	view: FleetView;
@@ -24,10 +24,10 @@
 	clock: Clock;
 };
 
-/** Routes admissions and heartbeats by the term records in the view. */
+/** Routes admissions and heartbeats by the term records in the fleet view. */
 export class PoolGateway extends DispatcherClient {
 	readonly #parts: GatewayParts;
-	/** Fired and replaced whenever a term changes: what waits on an ended term asks again. */
+	/** Aborted and replaced whenever a term changes, so that requests waiting on an ended term are sent again. */
 	#termChanged = new AbortController();
 
 	constructor(parts: GatewayParts) {
@@ -43,21 +43,21 @@
 
 	override async admit(request: AdmitRequest, {pool, isStandIn}: AdmissionTarget, signal: AbortSignal): Promise<Either<Failure, Grant>> {
 		const holder = this.#findHolder(pool);
-		const asked = isStandIn ? this.#parts.host.findStandIn(pool, holder)?.incarnation : holder;
-		if (asked === undefined) {
-			return Left(createNoDispatcher(pool));
+		const target = isStandIn ? this.#parts.host.findStandIn(pool, holder)?.incarnation : holder;
+		if (target === undefined) {
+			return Left(createNoDispatcherFailure(pool));
 		}
 
-		return asked === this.#parts.self
-			? this.admitHere(pool, request, signal)
-			: this.#admitThere(asked, pool, request, signal);
+		return target === this.#parts.self
+			? this.admitLocally(pool, request, signal)
+			: this.#admitRemotely(target, pool, request, signal);
 	}
 
-	/** Asks the dispatcher on this node; a withdrawn request leaves the queue. */
-	async admitHere(pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
+	/** Admits a request at the dispatcher of this node; aborting the signal withdraws it. */
+	async admitLocally(pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
 		const dispatcher = this.#parts.host.findDispatcher(pool);
 		if (dispatcher === undefined) {
-			return Left(createNoDispatcher(pool));
+			return Left(createNoDispatcherFailure(pool));
 		}
 
 		const withdraw = () => {
@@ -68,7 +68,7 @@
 		const result = await dispatcher.admit(request);
 		signal.removeEventListener('abort', withdraw);
 		if (signal.aborted) {
-			// The asker is gone: nobody would give the grant back.
+			// The caller is gone and would never release the grant.
 			result.ifRight(grant => {
 				dispatcher.reclaim(grant.grantId);
 			});
@@ -86,10 +86,10 @@
 		const standIn = this.#parts.host.findStandIn(heartbeat.pool, holder);
 		return standIn !== undefined && await this.#deliver(standIn.incarnation, heartbeat)
 			? Right(true as const)
-			: Left(createNoDispatcher(heartbeat.pool));
+			: Left(createNoDispatcherFailure(heartbeat.pool));
 	}
 
-	/** Takes a heartbeat for a dispatcher on this node; false when there is none. */
+	/** Passes a heartbeat to the dispatcher on this node; false if there is none. */
 	acceptHeartbeat(heartbeat: Heartbeat): boolean {
 		const dispatcher = this.#parts.host.findDispatcher(heartbeat.pool);
 		if (dispatcher === undefined) {
@@ -97,13 +97,13 @@
 		}
 
 		if (dispatcher.acceptHeartbeat(heartbeat)) {
-			this.#parts.reconciler.noteDisagreement(heartbeat.pool, heartbeat.entry);
+			this.#parts.reconciler.recordMismatch(heartbeat.pool, heartbeat.entry);
 		}
 
 		return true;
 	}
 
-	async #admitThere(holder: Incarnation, pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
+	async #admitRemotely(holder: Incarnation, pool: PoolId, request: AdmitRequest, signal: AbortSignal): Promise<Either<Failure, Grant>> {
 		const url = readIncarnationUrl(holder);
 		const termChanged = this.#termChanged.signal;
 		const answer = await this.#parts.clients.ask(url, request.patience + admitMargin, async (client, timeout) => {
@@ -115,13 +115,13 @@
 			}
 		});
 		if (answer === undefined) {
-			return Left(createNoDispatcher(pool));
+			return Left(createNoDispatcherFailure(pool));
 		}
 
 		return 'grant' in answer ? Right(answer.grant) : Left(answer.failure);
 	}
 
-	/** Delivers a heartbeat to a node; false when it does not decide for the pool or does not answer. */
+	/** Delivers a heartbeat to a node; false if it does not run the pool's dispatcher or does not answer. */
 	async #deliver(holder: Incarnation, heartbeat: Heartbeat): Promise<boolean> {
 		if (holder === this.#parts.self) {
 			return this.acceptHeartbeat(heartbeat);
@@ -137,6 +137,6 @@
 	}
 }
 
-function createNoDispatcher(pool: PoolId): Failure {
-	return createFailure('no_dispatcher', `no node decides for ${pool} at present`);
+function createNoDispatcherFailure(pool: PoolId): Failure {
+	return createFailure('no_dispatcher', `no node schedules ${pool} at present`);
 }
--- a/src/node/membership/peer-monitor.ts
+++ b/src/node/membership/peer-monitor.ts
@@ -1,38 +1,37 @@
 /**
- * Watches a few peers by pings.
+ * Failure detection by pings.
  *
- * Each node watches the peers that rendezvous hashing gives it, and those whose
- * pools it would take over; never all. A peer that misses several pings is
- * suspected only when another node cannot reach it either.
+ * Each node pings the peers that rendezvous hashing assigns to it and those whose pools it would take over, never all.
+ * A peer that misses several pings is suspected unless another node reaches it.
  */
 import {
 	Child, orderByRendezvous, waitFor, type Clock, type Incarnation, type Logger,
 } from '../../common/index.js';
 import type {NodeClients} from '../../rpc/index.js';
 import type {Member, Members} from './members.js';
-import {SecondOpinion} from './second-opinion.js';
+import {IndirectProbe} from './indirect-probe.js';
 
-/** Peers watched by each node. */
-export const watchedPeers = 3;
+/** Number of peers that each node pings, besides those whose pools it would take over. */
+export const watchedPeerCount = 3;
 
 /** Time between pings, in milliseconds. */
 export const pingInterval = 500;
 
 const pingTimeout = 400;
 
-/** Pings missed in a row before a second opinion is asked. */
-const missesAllowed = 2;
+/** Consecutive missed pings tolerated before an indirect probe. */
+const maxMissedPings = 2;
 
-/** What the monitor needs. */
+/** Dependencies of the monitor. */
 export type PeerMonitorParts = {
 	clock: Clock;
 	logger: Logger;
 	self: Incarnation;
-	/** Names the incarnations whose pools this node is next to take. */
+	/** Lists the incarnations whose pools this node would take over. */
 	listHolders: () => Incarnation[];
 };
 
-/** Pings peers and notes who does not answer. */
+/** Pings peers and records which of them do not answer. */
 export class PeerMonitor extends Child {
 	override readonly name = 'peer-monitor';
 	readonly #members: Members;
@@ -43,7 +42,7 @@
 	readonly #listHolders: () => Incarnation[];
 	#order: {version: number; others: Member[]} = {version: -1, others: []};
 	readonly #missed = new Map<Incarnation, number>();
-	readonly #opinion: SecondOpinion;
+	readonly #indirectProbe: IndirectProbe;
 
 	constructor(members: Members, clients: NodeClients, parts: PeerMonitorParts) {
 		super();
@@ -53,7 +52,7 @@
 		this.#logger = parts.logger;
 		this.#self = parts.self;
 		this.#listHolders = parts.listHolders;
-		this.#opinion = new SecondOpinion(members, clients, parts.self);
+		this.#indirectProbe = new IndirectProbe(members, clients, parts.self);
 	}
 
 	override async run(signal: AbortSignal): Promise<void> {
@@ -67,10 +66,10 @@
 	#choosePeers(): Member[] {
 		const holders = new Set(this.#listHolders());
 		const others = this.#orderOthers();
-		return [...others.slice(0, watchedPeers), ...others.slice(watchedPeers).filter(member => holders.has(member.incarnation))];
+		return [...others.slice(0, watchedPeerCount), ...others.slice(watchedPeerCount).filter(member => holders.has(member.incarnation))];
 	}
 
-	/** All others in rendezvous order, worked out once a change of the members. */
+	/** All other nodes in rendezvous order, computed once per change of the members. */
 	#orderOthers(): Member[] {
 		if (this.#order.version !== this.#members.version) {
 			const others = this.#members.listAll().filter(member => member.incarnation !== this.#self);
@@ -84,17 +83,17 @@
 		const answer = await this.#clients.ask(peer.nodeUrl, pingTimeout, async (client, signal) => client.ping.query(undefined, {signal}));
 		if (answer?.incarnation === peer.incarnation) {
 			this.#missed.delete(peer.incarnation);
-			this.#members.noteReachable(peer.incarnation, true);
+			this.#members.recordReachability(peer.incarnation, true);
 			return;
 		}
 
 		const missed = (this.#missed.get(peer.incarnation) ?? 0) + 1;
 		this.#missed.set(peer.incarnation, missed);
-		// Another incarnation at the address is proof; silence may be this node's own.
+		// Another incarnation at the address proves the replacement; a missing answer may be a network fault of this node.
 		const isReplaced = answer !== undefined;
-		if (isReplaced || (missed > missesAllowed && await this.#opinion.ask(peer) !== 'reached')) {
+		if (isReplaced || (missed > maxMissedPings && await this.#indirectProbe.probe(peer) !== 'reached')) {
 			this.#logger.warn({event: 'peer_suspected', box: peer.box, missed}, 'a node does not answer');
-			this.#members.noteReachable(peer.incarnation, false);
+			this.#members.recordReachability(peer.incarnation, false);
 		}
 	}
 }
--- a/test/follow-configuration.test.ts
+++ b/test/follow-configuration.test.ts
@@ -118,10 +118,10 @@
 	view.applyEvent(createModifiedEvent(createNode('a', 'leaving', 20)));
 	view.applyEvent(createModifiedEvent(createObject({kind: 'LiveBox', metadata: {name: 'b'}, spec: {state: 'leaving'}}, 21)));
 	view.applyEvent({type: 'DELETED', object: createObject({kind: 'LiveBox', metadata: {name: 'c'}, spec: {state: 'live'}}, 22)});
-	members.noteLeaving('d.life' as Incarnation);
-	members.noteReachable('e.life' as Incarnation, false);
+	members.recordLeaving('d.life' as Incarnation);
+	members.recordReachability('e.life' as Incarnation, false);
 	expect(listReady()).toBe('');
-	members.noteReachable('e.life' as Incarnation, true);
+	members.recordReachability('e.life' as Incarnation, true);
 	expect(listReady()).toBe('e');
 	expect([members.isDropped('a.life' as Incarnation), members.isDropped('c.life' as Incarnation), members.isDropped('a.earlier' as Incarnation)]).toEqual([false, true, true]);
 });
