--- a/src/cli/dev-command.ts
+++ b/src/cli/dev-command.ts
@@ -4,7 +4,7 @@
 import {createLogger, systemClock, waitFor} from '../common/index.js';
 import {StandinFleet, standinFleet} from '../standin/index.js';
 
-const readyPoll = 20;
+const readyPollInterval = 20;
 
 /** Adds the command. */
 export function addDevCommand(program: Command): void {
@@ -26,7 +26,7 @@
 			});
 			await fleet.start();
 			while (!isServing(fleet)) {
-				await waitFor(systemClock, readyPoll);
+				await waitFor(systemClock, readyPollInterval);
 			}
 
 			printGuide(fleet);
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,2 +1,2 @@
 /** Exit codes of every command. */
-export const exitCodes = {done: 0, failed: 1, wrongUse: 2} as const;
+export const exitCodes = {done: 0, failed: 1, usageError: 2} as const;
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import type {Command} from 'commander';
 import {
-	describeRequest, formatExplanation, readLogs, StoryGatherer,
+	describeRequest, formatExplanation, readLogs, TimelineCollector,
 } from '../logs/index.js';
 import {exitCodes} from './exit-codes.js';
 
@@ -16,25 +16,25 @@
 }
 
 async function printExplanation(request: string, options: {logs: string[]; json?: boolean}): Promise<void> {
-	const gatherer = new StoryGatherer(request);
+	const collector = new TimelineCollector(request);
 	const read = await readLogs(options.logs, line => {
-		gatherer.add(line);
+		collector.add(line);
 	});
 	read.caseOf({
 		Left(problem) {
 			process.stderr.write(`${problem}\n`);
-			process.exitCode = exitCodes.wrongUse;
+			process.exitCode = exitCodes.usageError;
 		},
 		Right({files, lines, events}) {
-			const story = gatherer.finish();
-			if (story === undefined) {
+			const timeline = collector.finish();
+			if (timeline === undefined) {
 				const seen = `none of ${lines} lines in ${files} ${files === 1 ? 'file' : 'files'}, ${events} of them events, is about it`;
 				process.stderr.write(`${request}: ${seen}; give the caller's own id of that attempt, and the logs of all nodes at that time, with log.level "info" or "debug"\n`);
 				process.exitCode = exitCodes.failed;
 				return;
 			}
 
-			const explanation = describeRequest(story);
+			const explanation = describeRequest(timeline);
 			process.stdout.write(options.json ? `${JSON.stringify(explanation)}\n` : formatExplanation(explanation));
 		},
 	});
--- a/src/cli/format-status.ts
+++ b/src/cli/format-status.ts
@@ -3,7 +3,7 @@
 
 type ServiceWork = NodeStatus['services'][number];
 type ServerWork = ServiceWork['servers'][number];
-type NodeLine = NodeStatus['node'];
+type NodeEntry = NodeStatus['node'];
 
 /** Formats a node's status. */
 export function formatStatus(status: NodeStatus): string {
@@ -32,12 +32,12 @@
 function formatService({
 	service, decider, plans, waiting, retries, usableServers, servers,
 }: ServiceWork): string[] {
-	const whose = decider.isSelf ? `${decider.name}, this node` : `${decider.name} (life ${decider.life}); ask ${decider.host} for all of its work`;
-	const spent = retries === undefined ? '' : `${retries.retries} of ${retries.requests} requests in the window, memory of ${Math.round(retries.memory * 100)}% of the fleet`;
+	const scheduler = decider.isSelf ? `${decider.name}, this node` : `${decider.name} (life ${decider.life}); ask ${decider.host} for all of its work`;
+	const usage = retries === undefined ? '' : `${retries.retries} of ${retries.requests} requests in the window, memory of ${Math.round(retries.memory * 100)}% of the fleet`;
 	return [
-		`service ${service}: decided by ${whose}`,
+		`service ${service}: decided by ${scheduler}`,
 		`  ${plans} plans in progress${decider.isSelf ? '' : ' as this node knows'}, ${waiting} prompts wait to be read`,
-		...retries === undefined ? [] : [`  retries: ${retries.left} left; ${spent}`],
+		...retries === undefined ? [] : [`  retries: ${retries.left} left; ${usage}`],
 		`  ${usableServers} servers take new work${servers.length < usableServers ? `, ${servers.length} of them below` : ''}`,
 		...servers.map(server => formatServer(server)),
 	];
@@ -53,7 +53,7 @@
 	return `    ${work.server}: ${work.work} of ${work.slots} places, ${work.writers} write, ${work.heldTokens} tokens held${reading}; ${health.length === 0 ? 'well' : health.join(', ')}`;
 }
 
-function formatNode(other: NodeLine, self: NodeLine): string {
+function formatNode(other: NodeEntry, self: NodeEntry): string {
 	const marks = [
 		...other.isReady ? [] : ['not ready'],
 		...other.isSourceReachable ? [] : ['does not reach the store'],
--- a/src/cli/gateway-command.ts
+++ b/src/cli/gateway-command.ts
@@ -25,7 +25,7 @@
 				}
 
 				closeEarlyListener();
-				process.exitCode = exitCodes.wrongUse;
+				process.exitCode = exitCodes.usageError;
 				return;
 			}
 
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -36,5 +36,5 @@
 
 /** Exit code of an error that commander has thrown. */
 export function findExitCode(error: {exitCode: number}): number {
-	return error.exitCode === 0 ? exitCodes.done : exitCodes.wrongUse;
+	return error.exitCode === 0 ? exitCodes.done : exitCodes.usageError;
 }
--- a/src/cli/node-command.ts
+++ b/src/cli/node-command.ts
@@ -22,7 +22,7 @@
 					process.stderr.write(`${formatProblem(problem)}\n`);
 				}
 
-				process.exitCode = exitCodes.wrongUse;
+				process.exitCode = exitCodes.usageError;
 				return;
 			}
 
--- a/src/cli/policy-command.ts
+++ b/src/cli/policy-command.ts
@@ -35,9 +35,9 @@
 		return Left([`${file}: ${readErrorMessage(error).split('\n', 1)[0]}`]);
 	}
 
-	const notText = Object.entries(texts).filter(([, text]) => typeof text !== 'string');
-	if (notText.length > 0) {
-		return Left(notText.map(([name]) => `${name}: write the program as a text in quotes`));
+	const nonStrings = Object.entries(texts).filter(([, text]) => typeof text !== 'string');
+	if (nonStrings.length > 0) {
+		return Left(nonStrings.map(([name]) => `${name}: write the program as a text in quotes`));
 	}
 
 	return compilePolicy(texts as PolicyTexts)
@@ -52,7 +52,7 @@
 		process.stderr.write(`${problems.join('\n')}\n`);
 	}
 
-	process.exitCode = exitCodes.wrongUse;
+	process.exitCode = exitCodes.usageError;
 }
 
 async function checkPolicy(file: string, options: {json?: boolean}): Promise<void> {
--- a/src/cli/rehearse-command.ts
+++ b/src/cli/rehearse-command.ts
@@ -6,7 +6,7 @@
 } from '../replay/routed/index.js';
 import {exitCodes} from './exit-codes.js';
 
-type RehearseWords = {workload: string[]; seeds: number; from: number; calm?: boolean; json?: boolean};
+type RehearseOptions = {workload: string[]; seeds: number; from: number; calm?: boolean; json?: boolean};
 
 /** Adds the command. */
 export function addRehearseCommand(program: Command): void {
@@ -21,24 +21,24 @@
 		.action(rehearse);
 }
 
-function rehearse(words: RehearseWords): void {
+function rehearse(options: RehearseOptions): void {
 	const rows = [];
-	for (const name of words.workload) {
+	for (const name of options.workload) {
 		const workload = workloads.find(candidate => candidate.name === name);
 		if (workload === undefined) {
 			process.stderr.write(`--workload ${name}: use one of ${workloads.map(candidate => candidate.name).join(', ')}\n`);
-			process.exitCode = exitCodes.wrongUse;
+			process.exitCode = exitCodes.usageError;
 			return;
 		}
 
-		rows.push({name, ...measureDays(words.calm ? {...workload, losses: 0, hasRestart: false} : workload, words)});
+		rows.push({name, ...measureDays(options.calm ? {...workload, losses: 0, hasRestart: false} : workload, options)});
 	}
 
-	process.stdout.write(words.json ? `${JSON.stringify(rows)}\n` : rows.map(row => formatRow(row)).join(''));
+	process.stdout.write(options.json ? `${JSON.stringify(rows)}\n` : rows.map(row => formatRow(row)).join(''));
 }
 
 /** Means over the days of one workload. */
-function measureDays(workload: Workload, {seeds, from}: RehearseWords): Omit<RoutedMeasures, 'flows'> {
+function measureDays(workload: Workload, {seeds, from}: RehearseOptions): Omit<RoutedMeasures, 'flows'> {
 	const sums = {
 		brought: 0, worstWindows: 0, worstFlow: 0, weighted: 0,
 	};
--- a/src/cli/replay-command.ts
+++ b/src/cli/replay-command.ts
@@ -7,7 +7,7 @@
 } from '../replay/index.js';
 import {exitCodes} from './exit-codes.js';
 
-type GenerateWords = {scenario: ScenarioName; seed: string; minutes: number; factor: number; engineDies?: boolean; out: string};
+type GenerateOptions = {scenario: ScenarioName; seed: string; minutes: number; factor: number; engineDies?: boolean; out: string};
 
 /** Adds the commands. */
 export function addReplayCommands(program: Command): void {
@@ -19,8 +19,8 @@
 		.option('--factor <number>', 'multiplies the load', parseNumber, 1)
 		.option('--engine-dies', 'an engine dies half way')
 		.requiredOption('--out <file>', 'where to write it')
-		.action(async (words: GenerateWords) => {
-			await writeFile(words.out, formatTrace(generateTrace(words)));
+		.action(async (options: GenerateOptions) => {
+			await writeFile(options.out, formatTrace(generateTrace(options)));
 		});
 	program.command('replay <trace>')
 		.description('run the decisions over a trace on a virtual clock and print the measures')
@@ -30,12 +30,12 @@
 		.action(runReplay);
 }
 
-async function runReplay(path: string, words: {variant: string[]; all?: boolean; json?: boolean}): Promise<void> {
-	const names = words.all ? Object.keys(variants) : words.variant;
+async function runReplay(path: string, options: {variant: string[]; all?: boolean; json?: boolean}): Promise<void> {
+	const names = options.all ? Object.keys(variants) : options.variant;
 	const unknown = names.find(name => !(name in variants));
 	if (unknown !== undefined) {
 		process.stderr.write(`--variant ${unknown}: use one of ${Object.keys(variants).join(', ')}\n`);
-		process.exitCode = exitCodes.wrongUse;
+		process.exitCode = exitCodes.usageError;
 		return;
 	}
 
@@ -45,7 +45,7 @@
 		rows.push({name, measures: await measureVariant(trace, variants[name])});
 	}
 
-	process.stdout.write(words.json ? `${JSON.stringify(rows)}\n` : formatTable(rows));
+	process.stdout.write(options.json ? `${JSON.stringify(rows)}\n` : formatTable(rows));
 	// Outcomes are stated for the way that is in force.
 	const ours = rows.find(row => row.name === 'ours');
 	const shortfalls = ours === undefined ? [] : listShortfalls(ours.measures, await readOutcomes(path));
--- a/src/cli/report-command.ts
+++ b/src/cli/report-command.ts
@@ -3,7 +3,7 @@
 import process from 'node:process';
 import type {Command} from 'commander';
 import {readErrorMessage} from '../common/index.js';
-import {DayGatherer, formatReport, readLogs} from '../logs/index.js';
+import {DayCollector, formatReport, readLogs} from '../logs/index.js';
 import {exitCodes} from './exit-codes.js';
 
 /** Adds the command. */
@@ -15,17 +15,17 @@
 }
 
 async function writeReport(logs: string[], options: {out: string}): Promise<void> {
-	const gatherer = new DayGatherer();
+	const collector = new DayCollector();
 	const read = await readLogs(logs, line => {
-		gatherer.add(line);
+		collector.add(line);
 	});
 	if (read.isLeft()) {
 		process.stderr.write(`${read.extract()}\n`);
-		process.exitCode = exitCodes.wrongUse;
+		process.exitCode = exitCodes.usageError;
 		return;
 	}
 
-	const day = gatherer.finish();
+	const day = collector.finish();
 	if (day === undefined) {
 		process.stderr.write(`no call ended in the ${logs.length === 1 ? 'file' : `${logs.length} files`}; give the logs of gateways, with log.level "info" or "debug"\n`);
 		process.exitCode = exitCodes.failed;
@@ -36,9 +36,9 @@
 		await writeFile(options.out, formatReport(day, logs));
 	} catch (error) {
 		process.stderr.write(`--out ${options.out}: give a path that can be written: ${readErrorMessage(error)}\n`);
-		process.exitCode = exitCodes.wrongUse;
+		process.exitCode = exitCodes.usageError;
 		return;
 	}
 
-	process.stdout.write(`${options.out}: ${day.calls.length} calls, ${(day.brought * 100).toFixed(1)}% of their worth brought\n`);
+	process.stdout.write(`${options.out}: ${day.calls.length} calls, ${(day.valueShare * 100).toFixed(1)}% of their worth brought\n`);
 }
--- a/src/cli/settings-command.ts
+++ b/src/cli/settings-command.ts
@@ -42,5 +42,5 @@
 		}
 	}
 
-	process.exitCode = exitCodes.wrongUse;
+	process.exitCode = exitCodes.usageError;
 }
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -11,7 +11,7 @@
 const answerTimeout = 3000;
 
 /** A numeric address or a name, and a port. */
-const addressForm = /^[\w.-]+:\d{1,5}$/;
+const addressPattern = /^[\w.-]+:\d{1,5}$/;
 
 /** Adds the command. */
 export function addStatusCommand(program: Command): void {
@@ -22,14 +22,14 @@
 }
 
 async function printStatus(address: string, options: {json?: boolean}): Promise<void> {
-	if (!addressForm.test(address)) {
+	if (!addressPattern.test(address)) {
 		process.stderr.write(`${address}: give IP:PORT of the node's metrics listener, such as 10.0.0.5:9464 (metrics_port of its settings)\n`);
-		process.exitCode = exitCodes.wrongUse;
+		process.exitCode = exitCodes.usageError;
 		return;
 	}
 
 	try {
-		const text = await askStatus(address);
+		const text = await fetchStatus(address);
 		process.stdout.write(options.json ? `${text}\n` : formatStatus(JSON.parse(text) as NodeStatus));
 	} catch (error) {
 		process.stderr.write(`${address}: no status: ${readReason(error)}; see whether the node runs, and give its IP and the metrics_port of its settings\n`);
@@ -37,7 +37,7 @@
 	}
 }
 
-async function askStatus(address: string): Promise<string> {
+async function fetchStatus(address: string): Promise<string> {
 	const answer = await fetch(`http://${address}${statusPath}`, {signal: AbortSignal.timeout(answerTimeout)});
 	const text = await answer.text();
 	if (answer.status !== 200) {
--- a/src/logs/day-summary.ts
+++ b/src/logs/day-summary.ts
@@ -3,18 +3,18 @@
 import {findCause, findLossGroup} from './find-cause.js';
 import {findNumber, findText, type LogLine} from './log-line.js';
 import {
-	buildStory, isAboutFleet, sortByTime, type RequestStory,
-} from './request-story.js';
+	buildTimeline, isFleetLine, sortByTime, type RequestTimeline,
+} from './request-timeline.js';
 import {WriterClocks} from './writer-clocks.js';
 
 /** Lengths of prompts that are summed apart, each up to so many tokens. */
-const lengths: Array<[string, number]> = [['plain', 0], ['under 15,000 tokens', 15_000], ['under 80,000', 80_000], ['80,000 and more', Infinity]];
+const lengthClasses: Array<[string, number]> = [['plain', 0], ['under 15,000 tokens', 15_000], ['under 80,000', 80_000], ['80,000 and more', Infinity]];
 
 /** Calls that lost most, told one by one. */
-const mostWorst = 60;
+const maxWorstCalls = 60;
 
 /** Least time that counts as one of the wall, in milliseconds: collectors count from their start. */
-const leastWallTime = Date.UTC(2000);
+const minWallTime = Date.UTC(2000);
 
 /** One kind of call, by the length of its prompt. */
 export type LengthRow = {
@@ -22,10 +22,10 @@
 	calls: number;
 	byVerdict: Partial<Record<Verdict, number>>;
 	/** Share of the worth that was brought, and the part that this kind lost of the worth of all. */
-	brought: number;
-	lost: number;
+	valueShare: number;
+	lostShare: number;
 	/** How much later than predicted the first event came where a call was sent once, in milliseconds. */
-	error?: {p50: number; p90: number; count: number};
+	predictionError?: {p50: number; p90: number; count: number};
 };
 
 /** One reason for which worth was lost. */
@@ -42,19 +42,19 @@
 	/** Wall time at which the times begin; undefined where a collector counted. */
 	origin: string | undefined;
 	/** All calls by the time they came. */
-	calls: Array<EndedCall & {came: number}>;
+	calls: Array<EndedCall & {arrivedAt: number}>;
 	decisions: DayDecision[];
 	/** Changes of who decides. */
-	deciders: Array<{at: number; service: string; to: string; tellers: number}>;
+	schedulerChanges: Array<{at: number; service: string; to: string; nodeCount: number}>;
 	lengths: LengthRow[];
 	losses: LossRow[];
-	worst: WorstCall[];
+	worstCalls: WorstCall[];
 	/** Share of the worth of all calls that was brought. */
-	brought: number;
+	valueShare: number;
 };
 
 /** Gathers the lines of a day. */
-export class DayGatherer {
+export class DayCollector {
 	readonly #ends = new Map<string, EndedCall>();
 	readonly #lines = new Map<string, LogLine[]>();
 	readonly #fleet: LogLine[] = [];
@@ -65,7 +65,7 @@
 		this.#clocks.add(line);
 		const request = findText(line, 'request');
 		if (request === undefined) {
-			if (isAboutFleet(line)) {
+			if (isFleetLine(line)) {
 				this.#fleet.push(line);
 			}
 
@@ -93,23 +93,23 @@
 
 		const calls = [...this.#ends.values()].sort((left, right) => findArrival(left) - findArrival(right));
 		const first = findArrival(calls[0]);
-		const isWall = first >= leastWallTime;
-		const origin = isWall ? first : 0;
+		const isWallTime = first >= minWallTime;
+		const origin = isWallTime ? first : 0;
 		const fleet = this.#sort(this.#fleet);
-		const worth = calls.reduce((sum, call) => sum + call.worth, 0);
-		const bad = calls.filter(call => call.lost > 0);
+		const totalValue = calls.reduce((sum, call) => sum + call.value, 0);
+		const lossyCalls = calls.filter(call => call.lostValue > 0);
 		return {
-			origin: isWall ? new Date(first).toISOString() : undefined,
-			calls: calls.map(call => ({...call, came: findArrival(call) - origin})),
+			origin: isWallTime ? new Date(first).toISOString() : undefined,
+			calls: calls.map(call => ({...call, arrivedAt: findArrival(call) - origin})),
 			decisions: this.#listDecisions(origin),
-			deciders: listDeciders(fleet, origin),
-			lengths: lengths.flatMap((_, index) => sumLength(index, calls, worth, call => this.#findWaited(call))),
-			losses: this.#sumLosses(bad, worth),
-			worst: [...bad].sort((left, right) => right.lost - left.lost).slice(0, mostWorst).map(call => {
-				const story = this.#buildStory(call, fleet);
-				return {call, cause: findCause(story), steps: sortByTime([...story.lines, ...story.around])};
+			schedulerChanges: listSchedulerChanges(fleet, origin),
+			lengths: lengthClasses.flatMap((_, index) => summariseLength(index, calls, totalValue, call => this.#findWaitTime(call))),
+			losses: this.#sumLosses(lossyCalls, totalValue),
+			worstCalls: [...lossyCalls].sort((left, right) => right.lostValue - left.lostValue).slice(0, maxWorstCalls).map(call => {
+				const timeline = this.#buildTimeline(call, fleet);
+				return {call, cause: findCause(timeline), steps: sortByTime([...timeline.lines, ...timeline.related])};
 			}),
-			brought: worth === 0 ? 1 : 1 - (bad.reduce((sum, call) => sum + call.lost, 0) / worth),
+			valueShare: totalValue === 0 ? 1 : 1 - (lossyCalls.reduce((sum, call) => sum + call.lostValue, 0) / totalValue),
 		};
 	}
 
@@ -117,17 +117,17 @@
 		return sortByTime(lines.map(line => ({...line, at: this.#clocks.estimateTime(line)})));
 	}
 
-	#buildStory({request}: EndedCall, fleet: LogLine[]): RequestStory {
-		return buildStory(request, this.#sort(this.#lines.get(request)!), fleet);
+	#buildTimeline({request}: EndedCall, fleet: LogLine[]): RequestTimeline {
+		return buildTimeline(request, this.#sort(this.#lines.get(request)!), fleet);
 	}
 
-	#sumLosses(bad: EndedCall[], worth: number): LossRow[] {
+	#sumLosses(lossyCalls: EndedCall[], totalValue: number): LossRow[] {
 		const rows = new Map<string, LossRow>();
-		for (const call of bad) {
-			const reason = findLossGroup(this.#buildStory(call, []), call);
+		for (const call of lossyCalls) {
+			const reason = findLossGroup(this.#buildTimeline(call, []), call);
 			const row = rows.get(reason) ?? {reason, calls: 0, share: 0};
 			row.calls++;
-			row.share += call.lost / worth;
+			row.share += call.lostValue / totalValue;
 			rows.set(reason, row);
 		}
 
@@ -145,7 +145,7 @@
 		}));
 	}
 
-	#findWaited({request}: EndedCall): number {
+	#findWaitTime({request}: EndedCall): number {
 		const placed = this.#lines.get(request)!.findLast(line => line.event === 'placed');
 		return placed === undefined ? 0 : findNumber(placed, 'waited') ?? 0;
 	}
@@ -156,23 +156,23 @@
 }
 
 /** Each node writes down what it chooses; one row a choice, with how many made it. */
-function listDeciders(fleet: LogLine[], origin: number): DaySummary['deciders'] {
-	const rows: DaySummary['deciders'] = [];
-	const last = new Map<string, DaySummary['deciders'][number]>();
+function listSchedulerChanges(fleet: LogLine[], origin: number): DaySummary['schedulerChanges'] {
+	const rows: DaySummary['schedulerChanges'] = [];
+	const last = new Map<string, DaySummary['schedulerChanges'][number]>();
 	for (const line of fleet) {
 		const [service, to] = [findText(line, 'service'), findText(line, 'to')];
 		if (line.event !== 'decider_changed' || service === undefined || to === undefined) {
 			continue;
 		}
 
-		const before = last.get(service);
-		if (before?.to === to) {
-			before.tellers++;
+		const previous = last.get(service);
+		if (previous?.to === to) {
+			previous.nodeCount++;
 			continue;
 		}
 
 		const row = {
-			at: line.at - origin, service, to, tellers: 1,
+			at: line.at - origin, service, to, nodeCount: 1,
 		};
 		last.set(service, row);
 		rows.push(row);
@@ -181,12 +181,12 @@
 	return rows;
 }
 
-function sumLength(index: number, all: EndedCall[], worth: number, findWaited: (call: EndedCall) => number): LengthRow[] {
-	const [length, most] = lengths[index];
-	const least = index === 0 ? -Infinity : lengths[index - 1][1];
+function summariseLength(index: number, all: EndedCall[], totalValue: number, findWaitTime: (call: EndedCall) => number): LengthRow[] {
+	const [length, max] = lengthClasses[index];
+	const min = index === 0 ? -Infinity : lengthClasses[index - 1][1];
 	// The plain ones are up to 0 tokens, the next begin at one.
-	const isOf = ({promptTokens}: EndedCall) => index < 2 ? promptTokens > least && promptTokens <= Math.max(0, most - 1) : promptTokens >= least && promptTokens < most;
-	const calls = all.filter(call => call.verdict !== 'rejected' && isOf(call));
+	const isInClass = ({promptTokens}: EndedCall) => index < 2 ? promptTokens > min && promptTokens <= Math.max(0, max - 1) : promptTokens >= min && promptTokens < max;
+	const calls = all.filter(call => call.verdict !== 'rejected' && isInClass(call));
 	if (calls.length === 0) {
 		return [];
 	}
@@ -198,19 +198,19 @@
 
 	const errors = calls.flatMap(call => call.expectedFirst === undefined || call.expectedFirst === 0 || call.firstAfter === undefined || call.sends !== 1
 		? []
-		: [call.firstAfter - findWaited(call) - call.expectedFirst]).sort((left, right) => left - right);
-	const owed = calls.reduce((sum, call) => sum + call.worth, 0);
-	const lost = calls.reduce((sum, call) => sum + call.lost, 0);
+		: [call.firstAfter - findWaitTime(call) - call.expectedFirst]).sort((left, right) => left - right);
+	const value = calls.reduce((sum, call) => sum + call.value, 0);
+	const lostValue = calls.reduce((sum, call) => sum + call.lostValue, 0);
 	return [{
 		length,
 		calls: calls.length,
 		byVerdict,
-		brought: 1 - (lost / owed),
-		lost: lost / worth,
-		...errors.length > 0 && {error: {p50: pickShare(errors, 0.5), p90: pickShare(errors, 0.9), count: errors.length}},
+		valueShare: 1 - (lostValue / value),
+		lostShare: lostValue / totalValue,
+		...errors.length > 0 && {predictionError: {p50: findPercentile(errors, 0.5), p90: findPercentile(errors, 0.9), count: errors.length}},
 	}];
 }
 
-function pickShare(sorted: number[], share: number): number {
+function findPercentile(sorted: number[], share: number): number {
 	return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))];
 }
--- a/src/logs/ended-call.ts
+++ b/src/logs/ended-call.ts
@@ -39,8 +39,8 @@
 	configAge: number | undefined;
 	verdict: Verdict;
 	/** What an answer in aim is worth, and what was lost of it, in tokens. */
-	worth: number;
-	lost: number;
+	value: number;
+	lostValue: number;
 };
 
 /** Reads the end of a call from its last line; undefined for other lines. */
@@ -74,23 +74,23 @@
 		configVersion: findNumber(line, 'configVersion'),
 		configAge: findNumber(line, 'configAge'),
 	};
-	const verdict = judgeCall(facts);
-	const worth = verdict === 'rejected' ? 0 : computeValue(facts.promptTokens);
+	const verdict = classifyCall(facts);
+	const value = verdict === 'rejected' ? 0 : computeValue(facts.promptTokens);
 	return {
-		...facts, verdict, worth, lost: worth * findLostShare(verdict),
+		...facts, verdict, value, lostValue: value * findLostShare(verdict),
 	};
 }
 
 /** A time is only judged where the line states what was aimed at. */
-function judgeCall(call: Omit<EndedCall, 'verdict' | 'worth' | 'lost'>): Verdict {
+function classifyCall(call: Omit<EndedCall, 'verdict' | 'value' | 'lostValue'>): Verdict {
 	if (call.outcome === 'whole') {
 		const isLate = (call.firstAfter ?? 0) > (call.objective ?? Infinity);
-		const hasPaused = (call.longestPause ?? 0) > (call.pauseAim ?? Infinity);
+		const hasLongPause = (call.longestPause ?? 0) > (call.pauseAim ?? Infinity);
 		if (isLate) {
-			return hasPaused ? 'late and long pause' : 'late first';
+			return hasLongPause ? 'late and long pause' : 'late first';
 		}
 
-		return hasPaused ? 'long pause' : 'in aim';
+		return hasLongPause ? 'long pause' : 'in aim';
 	}
 
 	if (call.outcome === 'caller_gone') {
--- a/src/logs/explain-request.ts
+++ b/src/logs/explain-request.ts
@@ -1,7 +1,7 @@
 /** Explains one request: its decisions in order, and its cause. Pure. */
 import {findCause} from './find-cause.js';
 import {findText, type LogLine} from './log-line.js';
-import {sortByTime, type RequestStory} from './request-story.js';
+import {sortByTime, type RequestTimeline} from './request-timeline.js';
 
 /** One decision about the request, or what befell a server or node it met. */
 export type ExplainedStep = {
@@ -25,28 +25,28 @@
 };
 
 /** Facts that are told first, in this order; the rest of a line follows. */
-const firstFacts = ['outcome', 'status', 'kind', 'reason', 'server', 'after', 'waited', 'expectedFirst', 'firstAfter', 'objective', 'longestPause', 'pauseAim', 'took'];
+const leadingFields = ['outcome', 'status', 'kind', 'reason', 'server', 'after', 'waited', 'expectedFirst', 'firstAfter', 'objective', 'longestPause', 'pauseAim', 'took'];
 
 /** Fields that every line has or that the step tells already. */
-const leftOut = new Set(['event', 'level', 'time', 'msg', 'request']);
+const omittedFields = new Set(['event', 'level', 'time', 'msg', 'request']);
 
 /** Least time that counts as one of the wall, in milliseconds: collectors count from their start. */
-const leastWallTime = Date.UTC(2000);
+const minWallTime = Date.UTC(2000);
 
-/** Explains the story of a request. */
-export function describeRequest(story: RequestStory): Explanation {
-	const [first] = story.lines;
-	const around = new Set(story.around);
+/** Explains the timeline of a request. */
+export function describeRequest(timeline: RequestTimeline): Explanation {
+	const [first] = timeline.lines;
+	const related = new Set(timeline.related);
 	return {
-		request: story.request,
-		cause: findCause(story),
-		verdict: story.ended?.verdict ?? 'no end known',
-		startedAt: first.at >= leastWallTime ? new Date(first.at).toISOString() : Math.round(first.at),
-		steps: sortByTime([...story.lines, ...story.around]).map(line => ({
+		request: timeline.request,
+		cause: findCause(timeline),
+		verdict: timeline.ended?.verdict ?? 'no end known',
+		startedAt: first.at >= minWallTime ? new Date(first.at).toISOString() : Math.round(first.at),
+		steps: sortByTime([...timeline.lines, ...timeline.related]).map(line => ({
 			after: Math.round(line.at - first.at),
 			node: line.writer,
 			event: line.event,
-			isAround: around.has(line),
+			isAround: related.has(line),
 			facts: pickFacts(line),
 		})),
 	};
@@ -69,13 +69,13 @@
 }
 
 function pickFacts(line: LogLine): Record<string, unknown> {
-	const told = Object.entries(line.fields).filter(([name, value]) => !leftOut.has(name) && value !== undefined && value !== null);
+	const shown = Object.entries(line.fields).filter(([name, value]) => !omittedFields.has(name) && value !== undefined && value !== null);
 	if (findText(line, 'reason') === undefined && line.event === 'call_refused') {
-		told.push(['reason', line.fields.msg]);
+		shown.push(['reason', line.fields.msg]);
 	}
 
-	const findRank = (name: string) => firstFacts.includes(name) ? firstFacts.indexOf(name) : firstFacts.length;
-	return Object.fromEntries(told.sort(([left], [right]) => findRank(left) - findRank(right)));
+	const findRank = (name: string) => leadingFields.includes(name) ? leadingFields.indexOf(name) : leadingFields.length;
+	return Object.fromEntries(shown.sort(([left], [right]) => findRank(left) - findRank(right)));
 }
 
 function formatFacts(facts: Record<string, unknown>): string {
--- a/src/logs/index.ts
+++ b/src/logs/index.ts
@@ -5,5 +5,5 @@
 export * from './find-cause.js';
 export * from './log-line.js';
 export * from './read-logs.js';
-export * from './request-story.js';
+export * from './request-timeline.js';
 export {formatReport} from './page/report-page.js';
--- a/src/logs/log-line.ts
+++ b/src/logs/log-line.ts
@@ -14,11 +14,11 @@
 };
 
 /** A time in seconds and a name, before the line itself. */
-const prefixed = /^\s*(?<seconds>-?\d+(?:\.\d+)?)\s+(?<writer>\S+)\s+(?<json>{.*)$/;
+const prefixPattern = /^\s*(?<seconds>-?\d+(?:\.\d+)?)\s+(?<writer>\S+)\s+(?<json>{.*)$/;
 
 /** Reads one line; undefined when it tells no event, such as one that was cut off. */
 export function parseLogLine(text: string, writer: string): LogLine | undefined {
-	const {seconds, writer: named, json} = prefixed.exec(text)?.groups ?? {};
+	const {seconds, writer: named, json} = prefixPattern.exec(text)?.groups ?? {};
 	const fields = parseObject(json ?? text);
 	if (typeof fields?.event !== 'string') {
 		return undefined;
--- a/src/logs/page/day-charts.ts
+++ b/src/logs/page/day-charts.ts
@@ -4,21 +4,21 @@
 import {
 	drawBars, drawPoints, type ChartLine, type ChartPoint, type Series,
 } from './chart.js';
-import {divideByTens, divideEvenly, findStep} from './scale.js';
+import {createLogScale, createLinearScale, findStep} from './scale.js';
 
 type DayCall = DaySummary['calls'][number];
 
 /** Points of a chart at most: the bad ones all come first, of the good ones as many as fit are drawn, evenly. */
-const mostPoints = 4000;
+const maxPoints = 4000;
 
 /** Bars of a chart at most. */
-const mostBars = 120;
+const maxBars = 120;
 
 /** Deciding nodes that are told apart. */
-const mostNodes = 8;
+const maxNodes = 8;
 
 /** Objectives that are drawn as lines. */
-const mostLines = 6;
+const maxObjectiveLines = 6;
 
 const colors: Record<Verdict, string> = {
 	'in aim': '#5b9bd5',
@@ -36,7 +36,7 @@
 
 const verdictSeries: Series[] = verdicts.map(name => ({name, color: colors[name]}));
 
-const seconds = 1000;
+const millisecondsPerSecond = 1000;
 
 /** First event against length of prompt, with objectives. */
 export function drawFirstEvents({calls}: DaySummary): string {
@@ -45,8 +45,8 @@
 		title: 'First event against length of prompt; lines are objectives',
 		xName: 'tokens of the prompt',
 		yName: 'first event, ms',
-		x: divideByTens(Math.max(1, findLeast(shown.map(call => call.promptTokens))), findMost(shown.map(call => call.promptTokens))),
-		y: divideByTens(Math.max(1, findLeast(shown.map(call => call.firstAfter!))), findMost([...shown.map(call => call.firstAfter!), ...shown.map(call => call.objective ?? 0)])),
+		x: createLogScale(Math.max(1, findMin(shown.map(call => call.promptTokens))), findMax(shown.map(call => call.promptTokens))),
+		y: createLogScale(Math.max(1, findMin(shown.map(call => call.firstAfter!))), findMax([...shown.map(call => call.firstAfter!), ...shown.map(call => call.objective ?? 0)])),
 		series: verdictSeries,
 	};
 	return drawPoints(frame, pickPoints(shown).map(call => buildPoint(call, call.promptTokens, call.firstAfter!)), listLines(shown, call => call.objective));
@@ -59,11 +59,11 @@
 		title: 'Longest pause of each stream; lines are aims',
 		xName: 'came, s',
 		yName: 'pause, ms',
-		x: divideTime(calls),
-		y: divideByTens(Math.max(1, findLeast(shown.map(call => call.longestPause!))), findMost(shown.map(call => Math.max(call.longestPause!, call.pauseAim!)))),
+		x: createTimeScale(calls),
+		y: createLogScale(Math.max(1, findMin(shown.map(call => call.longestPause!))), findMax(shown.map(call => Math.max(call.longestPause!, call.pauseAim!)))),
 		series: verdictSeries,
 	};
-	return drawPoints(frame, pickPoints(shown).map(call => buildPoint(call, call.came / seconds, call.longestPause!)), listLines(shown, call => call.pauseAim));
+	return drawPoints(frame, pickPoints(shown).map(call => buildPoint(call, call.arrivedAt / millisecondsPerSecond, call.longestPause!)), listLines(shown, call => call.pauseAim));
 }
 
 /** How long requests had waited when they got a place or were refused. */
@@ -74,27 +74,27 @@
 		title: 'Waits: how long requests had waited when they got a place or were refused (those that did not wait are left out)',
 		xName: 'decided, s',
 		yName: 'waited, ms',
-		x: divideTime(calls),
-		y: divideEvenly(0, findMost(shown.map(decision => decision.waited))),
+		x: createTimeScale(calls),
+		y: createLinearScale(0, findMax(shown.map(decision => decision.waited))),
 		series,
 	};
-	return drawPoints(frame, shown.slice(0, mostPoints).map(({at, waited, event, node}) => ({
-		x: at / seconds, y: waited, series: event === 'placed' ? 0 : 1, title: `${event} by ${node} after ${Math.round(waited)} ms`,
+	return drawPoints(frame, shown.slice(0, maxPoints).map(({at, waited, event, node}) => ({
+		x: at / millisecondsPerSecond, y: waited, series: event === 'placed' ? 0 : 1, title: `${event} by ${node} after ${Math.round(waited)} ms`,
 	})));
 }
 
 /** How calls ended, by when they came. */
-export function drawEnds({calls}: DaySummary, shownVerdicts: Verdict[], title: string): string {
+export function drawOutcomes({calls}: DaySummary, shownVerdicts: Verdict[], title: string): string {
 	const shown = calls.filter(call => shownVerdicts.includes(call.verdict));
-	return drawCounts(calls, title, shownVerdicts.map(name => ({name, color: colors[name]})), shown.map(call => ({at: call.came, series: shownVerdicts.indexOf(call.verdict)})));
+	return drawCounts(calls, title, shownVerdicts.map(name => ({name, color: colors[name]})), shown.map(call => ({at: call.arrivedAt, series: shownVerdicts.indexOf(call.verdict)})));
 }
 
 /** Decisions by the node that made them, over time. */
-export function drawDeciders({calls, decisions}: DaySummary): string {
+export function drawSchedulers({calls, decisions}: DaySummary): string {
 	const counts = countNodes(decisions);
-	const named = [...counts.entries()].sort((left, right) => right[1] - left[1]).slice(0, mostNodes).map(([node]) => node);
-	const series = [...named, ...counts.size > mostNodes ? ['others'] : []].map((name, index) => ({name, color: nodeColors[index]}));
-	const shown = decisions.filter(({event}) => event !== 'decider_passed_over').map(({at, node}) => ({at, series: named.includes(node) ? named.indexOf(node) : mostNodes}));
+	const named = [...counts.entries()].sort((left, right) => right[1] - left[1]).slice(0, maxNodes).map(([node]) => node);
+	const series = [...named, ...counts.size > maxNodes ? ['others'] : []].map((name, index) => ({name, color: nodeColors[index]}));
+	const shown = decisions.filter(({event}) => event !== 'decider_passed_over').map(({at, node}) => ({at, series: named.includes(node) ? named.indexOf(node) : maxNodes}));
 	return drawCounts(calls, 'Who decided: places, waits and refusals by the node that wrote them', series, shown);
 }
 
@@ -111,10 +111,10 @@
 
 function drawCounts(calls: DayCall[], title: string, series: Series[], counted: Array<{at: number; series: number}>): string {
 	const [from, until] = findSpan(calls);
-	const width = findStep(Math.max(1, (until - from) / mostBars));
+	const width = findStep(Math.max(1, (until - from) / maxBars));
 	const bars = new Map<number, number[]>();
 	for (const item of counted) {
-		const x = Math.floor(item.at / seconds / width) * width;
+		const x = Math.floor(item.at / millisecondsPerSecond / width) * width;
 		const heights = bars.get(x) ?? series.map(() => 0);
 		heights[item.series]++;
 		bars.set(x, heights);
@@ -122,7 +122,7 @@
 
 	const sums = [...bars.values()].map(heights => heights.reduce((sum, height) => sum + height, 0));
 	const frame = {
-		title, xName: `s, in steps of ${width} s`, yName: 'count', x: divideTime(calls), y: divideEvenly(0, findMost(sums), 1), series,
+		title, xName: `s, in steps of ${width} s`, yName: 'count', x: createTimeScale(calls), y: createLinearScale(0, findMax(sums), 1), series,
 	};
 	return drawBars(frame, width, [...bars.entries()].sort(([left], [right]) => left - right).map(([x, heights]) => ({x, heights})));
 }
@@ -135,10 +135,10 @@
 
 /** All bad calls, and as many good ones as there is room for, evenly; the bad ones lie on top. */
 function pickPoints(calls: DayCall[]): DayCall[] {
-	const bad = calls.filter(call => call.verdict !== 'in aim').slice(0, mostPoints);
+	const bad = calls.filter(call => call.verdict !== 'in aim').slice(0, maxPoints);
 	const good = calls.filter(call => call.verdict === 'in aim');
-	const every = Math.max(1, Math.ceil(good.length / Math.max(1, mostPoints - bad.length)));
-	return [...good.filter((_, index) => index % every === 0), ...bad];
+	const stride = Math.max(1, Math.ceil(good.length / Math.max(1, maxPoints - bad.length)));
+	return [...good.filter((_, index) => index % stride === 0), ...bad];
 }
 
 function listLines(calls: DayCall[], read: (call: DayCall) => number | undefined): ChartLine[] {
@@ -150,32 +150,32 @@
 		}
 	}
 
-	return [...counts.entries()].sort((left, right) => right[1] - left[1]).slice(0, mostLines).map(([y]) => ({y, name: `${y} ms`}));
+	return [...counts.entries()].sort((left, right) => right[1] - left[1]).slice(0, maxObjectiveLines).map(([y]) => ({y, name: `${y} ms`}));
 }
 
-function divideTime(calls: DayCall[]) {
-	return divideEvenly(...findSpan(calls));
+function createTimeScale(calls: DayCall[]) {
+	return createLinearScale(...findSpan(calls));
 }
 
 function findSpan(calls: DayCall[]): [number, number] {
-	return [Math.floor(findLeast(calls.map(call => call.came)) / seconds), Math.ceil(findMost(calls.map(call => call.came + call.took)) / seconds)];
+	return [Math.floor(findMin(calls.map(call => call.arrivedAt)) / millisecondsPerSecond), Math.ceil(findMax(calls.map(call => call.arrivedAt + call.took)) / millisecondsPerSecond)];
 }
 
 /** Lists are too long to be spread into arguments. */
-function findLeast(values: number[]): number {
-	let least = values[0] ?? 1;
+function findMin(values: number[]): number {
+	let min = values[0] ?? 1;
 	for (const value of values) {
-		least = Math.min(least, value);
+		min = Math.min(min, value);
 	}
 
-	return least;
+	return min;
 }
 
-function findMost(values: number[]): number {
-	let most = 1;
+function findMax(values: number[]): number {
+	let max = 1;
 	for (const value of values) {
-		most = Math.max(most, value);
+		max = Math.max(max, value);
 	}
 
-	return most;
+	return max;
 }
--- a/src/logs/page/report-page.ts
+++ b/src/logs/page/report-page.ts
@@ -3,7 +3,7 @@
 import {listFacts} from '../explain-request.js';
 import type {DaySummary, WorstCall} from '../day-summary.js';
 import {
-	drawDeciders, drawEnds, drawFirstEvents, drawPauses, drawWaits,
+	drawSchedulers, drawOutcomes, drawFirstEvents, drawPauses, drawWaits,
 } from './day-charts.js';
 import {encodeHtml, formatCount, formatTable} from './html.js';
 
@@ -20,7 +20,7 @@
 `;
 
 /** Widest bar of a table, in pixels. */
-const widestBar = 320;
+const maxBarWidth = 320;
 
 /** Verdicts that are no answer in aim and no answer at all, in the order of the charts. */
 const lateVerdicts: Verdict[] = ['late first', 'long pause', 'late and long pause'];
@@ -39,13 +39,13 @@
 		drawPauses(day),
 		'<h2>Waits, refusals and late answers over time</h2>',
 		drawWaits(day),
-		drawEnds(day, lostVerdicts, 'Calls without a whole answer, by when they came'),
-		drawEnds(day, [...lateVerdicts, 'in aim'], 'Calls answered whole, by when they came'),
+		drawOutcomes(day, lostVerdicts, 'Calls without a whole answer, by when they came'),
+		drawOutcomes(day, [...lateVerdicts, 'in aim'], 'Calls answered whole, by when they came'),
 		'<h2>Who decided</h2>',
-		drawDeciders(day),
-		formatDeciders(day),
+		drawSchedulers(day),
+		formatSchedulers(day),
 		'<h2>Calls that lost most</h2>',
-		...day.worst.map(worst => formatWorst(worst)),
+		...day.worstCalls.map(worst => formatWorst(worst)),
 	];
 	return `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><meta name="viewport" content="width=device-width, initial-scale=1"><title>cresshook report</title><style>${style}</style></head>
@@ -55,19 +55,19 @@
 `;
 }
 
-function formatHead({calls, brought, origin}: DaySummary, files: string[]): string {
+function formatHead({calls, valueShare, origin}: DaySummary, files: string[]): string {
 	const rejected = calls.filter(call => call.verdict === 'rejected').length;
 	return `<h1>cresshook report</h1>
 <p>${encodeHtml(files.join(', '))}. Times count ${origin === undefined ? 'as the collector of the logs does' : `from ${origin}`}.</p>
-<p>${formatCount(calls.length - rejected)} calls were owed an answer, and ${formatCount(brought * 100, 1)}% of their worth was brought.
+<p>${formatCount(calls.length - rejected)} calls were owed an answer, and ${formatCount(valueShare * 100, 1)}% of their worth was brought.
 ${formatCount(rejected)} more had no route or key. Worth is counted as the planner does: the prompt's tokens and a base; an answer that is late or pauses too long keeps a part.
 These are the nodes' logs: connections that never reached a node, and callers who try again under a new id, are not told apart.</p>`;
 }
 
 function formatLosses({losses}: DaySummary): string {
-	const most = losses[0]?.share ?? 1;
+	const maxShare = losses[0]?.share ?? 1;
 	return formatTable(['reason', 'calls', 'share of all worth', ''], losses.map(({reason, calls, share}) => [
-		encodeHtml(reason), formatCount(calls), `${formatCount(share * 100, 2)}%`, `<span class="bar" style="width:${Math.round(share / most * widestBar)}px"></span>`,
+		encodeHtml(reason), formatCount(calls), `${formatCount(share * 100, 2)}%`, `<span class="bar" style="width:${Math.round(share / maxShare * maxBarWidth)}px"></span>`,
 	]));
 }
 
@@ -77,18 +77,18 @@
 		row.length,
 		formatCount(row.calls),
 		...shown.map(verdict => formatCount(row.byVerdict[verdict] ?? 0)),
-		formatCount(row.brought, 3),
-		formatCount(row.lost, 3),
-		row.error === undefined ? '' : `${formatCount(row.error.p50)} / ${formatCount(row.error.p90)} (${formatCount(row.error.count)})`,
+		formatCount(row.valueShare, 3),
+		formatCount(row.lostShare, 3),
+		row.predictionError === undefined ? '' : `${formatCount(row.predictionError.p50)} / ${formatCount(row.predictionError.p90)} (${formatCount(row.predictionError.count)})`,
 	]));
 }
 
-function formatDeciders({decisions, calls, deciders}: DaySummary): string {
+function formatSchedulers({decisions, calls, schedulerChanges}: DaySummary): string {
 	const count = (by: string) => calls.filter(call => call.decidedBy === by).length;
-	const passed = decisions.filter(({event}) => event === 'decider_passed_over').length;
-	const rows = deciders.map(({at, service, to, tellers}) => [encodeHtml(service), formatCount(at / 1000, 1), encodeHtml(to), formatCount(tellers)]);
+	const bypassCount = decisions.filter(({event}) => event === 'decider_passed_over').length;
+	const rows = schedulerChanges.map(({at, service, to, nodeCount}) => [encodeHtml(service), formatCount(at / 1000, 1), encodeHtml(to), formatCount(nodeCount)]);
 	return `<p>Last place of each call: ${formatCount(count('planner'))} by the deciding node, ${formatCount(count('self'))} by the node that took the call and decides itself,
-${formatCount(count('fallback'))} by a node's own view; the deciding node was passed over ${formatCount(passed)} times.</p>
+${formatCount(count('fallback'))} by a node's own view; the deciding node was passed over ${formatCount(bypassCount)} times.</p>
 ${formatTable(['service', 's', 'decides from then on', 'nodes that say so'], rows)}`;
 }
 
--- a/src/logs/request-story.ts
+++ b/src/logs/request-timeline.ts
@@ -14,29 +14,29 @@
 const serverEvents = new Set(['server_gone', 'server_doubtful', 'server_leaving', 'server_overwritten', 'server_restarted']);
 
 /** Whether a line tells of a prompt that several servers read together. */
-function isJointRead(line: LogLine): boolean {
+function isDistributedPrefill(line: LogLine): boolean {
 	return line.event === 'placed' && listTexts(line, 'readers').length > 0;
 }
 
 /** Time around a request in which what befell its servers belongs to it, in milliseconds: a death is noticed by silence, and entries lapse after about two seconds. */
-const margin = 2000;
+const relatedMargin = 2000;
 
 /** Lines about the fleet that are kept at most: a large fleet's worst day has some ten thousand. */
-const mostFleetLines = 200_000;
+const maxFleetLines = 200_000;
 
 /** What is known of one request. */
-export type RequestStory = {
+export type RequestTimeline = {
 	request: string;
 	/** Its lines of all nodes, in order. */
 	lines: LogLine[];
 	/** Lines about the servers and nodes that it met, each told once, in order. */
-	around: LogLine[];
+	related: LogLine[];
 	/** How it ended; undefined when no line tells. */
 	ended: EndedCall | undefined;
 };
 
 /** Picks one request out of the lines of a day. */
-export class StoryGatherer {
+export class TimelineCollector {
 	readonly #request: string;
 	readonly #lines: LogLine[] = [];
 	readonly #fleet: LogLine[] = [];
@@ -51,14 +51,14 @@
 		this.#clocks.add(line);
 		if (findText(line, 'request') === this.#request) {
 			this.#lines.push(line);
-		} else if (isAboutFleet(line) && this.#fleet.length < mostFleetLines) {
+		} else if (isFleetLine(line) && this.#fleet.length < maxFleetLines) {
 			this.#fleet.push(line);
 		}
 	}
 
-	/** The story so far; undefined when nothing was said of the request. */
-	finish(): RequestStory | undefined {
-		return this.#lines.length === 0 ? undefined : buildStory(this.#request, this.#sort(this.#lines), this.#sort(this.#fleet));
+	/** The timeline so far; undefined when nothing was said of the request. */
+	finish(): RequestTimeline | undefined {
+		return this.#lines.length === 0 ? undefined : buildTimeline(this.#request, this.#sort(this.#lines), this.#sort(this.#fleet));
 	}
 
 	#sort(lines: LogLine[]): LogLine[] {
@@ -67,29 +67,29 @@
 }
 
 /** Whether a line tells what a server or a node has become, or what several servers read. */
-export function isAboutFleet(line: LogLine): boolean {
-	return fleetEvents.has(line.event) || isJointRead(line);
+export function isFleetLine(line: LogLine): boolean {
+	return fleetEvents.has(line.event) || isDistributedPrefill(line);
 }
 
 /** Puts together what is known of a request from its lines and those about the fleet, both in order. */
-export function buildStory(request: string, lines: LogLine[], fleet: LogLine[]): RequestStory {
+export function buildTimeline(request: string, lines: LogLine[], fleet: LogLine[]): RequestTimeline {
 	const ended = lines.map(line => findEndedCall(line)).findLast(end => end !== undefined);
 	return {
-		request, lines, ended, around: listAround(lines, fleet, ended),
+		request, lines, ended, related: listRelated(lines, fleet, ended),
 	};
 }
 
-function listAround(lines: LogLine[], fleet: LogLine[], ended: EndedCall | undefined): LogLine[] {
+function listRelated(lines: LogLine[], fleet: LogLine[], ended: EndedCall | undefined): LogLine[] {
 	const servers = new Set(lines.flatMap(line => [findText(line, 'server'), findText(line, 'after'), ...listTexts(line, 'servers')]));
 	const nodes = new Set(lines.flatMap(line => [line.writer, findText(line, 'node') ?? line.writer]));
 	const services = new Set(lines.map(line => findText(line, 'service')));
-	const from = Math.min(lines[0].at, ...ended === undefined ? [] : [ended.at - ended.took]) - margin;
+	const from = Math.min(lines[0].at, ...ended === undefined ? [] : [ended.at - ended.took]) - relatedMargin;
 	// A request without an end may have gone on for as long as its caller waits.
 	const patience = ended === undefined ? Math.max(...lines.map(line => findNumber(line, 'patience') ?? 0)) : 0;
-	const until = lines.at(-1)!.at + patience + margin;
+	const until = lines.at(-1)!.at + patience + relatedMargin;
 	const seen = new Set<string>();
 	return fleet.filter(line => {
-		const what = findMet(line, {servers, nodes, services});
+		const what = findSubject(line, {servers, nodes, services});
 		const key = `${line.event} ${what}`;
 		if (what === undefined || line.at < from || line.at > until || seen.has(key)) {
 			return false;
@@ -107,20 +107,20 @@
 }
 
 /** What a request met. */
-type Met = {servers: ReadonlySet<string | undefined>; nodes: ReadonlySet<string>; services: ReadonlySet<string | undefined>};
+type RelatedNames = {servers: ReadonlySet<string | undefined>; nodes: ReadonlySet<string>; services: ReadonlySet<string | undefined>};
 
 /** What of the request's a line is about; undefined when it is about none of it. */
-function findMet(line: LogLine, {servers, nodes, services}: Met): string | undefined {
-	if (isJointRead(line)) {
+function findSubject(line: LogLine, {servers, nodes, services}: RelatedNames): string | undefined {
+	if (isDistributedPrefill(line)) {
 		return listTexts(line, 'readers').some(server => servers.has(server)) ? findText(line, 'request') : undefined;
 	}
 
 	return serverEvents.has(line.event)
 		? [findText(line, 'server'), findText(line, 'before')].find(server => server !== undefined && servers.has(server))
-		: findNode(line, nodes, services);
+		: findNodeSubject(line, nodes, services);
 }
 
-function findNode(line: LogLine, nodes: ReadonlySet<string>, services: ReadonlySet<string | undefined>): string | undefined {
+function findNodeSubject(line: LogLine, nodes: ReadonlySet<string>, services: ReadonlySet<string | undefined>): string | undefined {
 	if (line.event === 'node_lost') {
 		const lost = findText(line, 'node');
 		return lost !== undefined && nodes.has(lost) ? lost : undefined;
--- a/src/logs/writer-clocks.ts
+++ b/src/logs/writer-clocks.ts
@@ -2,7 +2,7 @@
 import type {LogLine} from './log-line.js';
 
 /** A time that differs by more from that of the collector is that of a clock that was set meanwhile, in milliseconds: lines are gathered for 200 at most. */
-const mostGathered = 1000;
+const maxBufferTime = 1000;
 
 /** Estimates when lines were written: a node gathers its lines before it hands them on, which would put the decisions of two nodes in a wrong order. */
 export class WriterClocks {
@@ -23,6 +23,6 @@
 		}
 
 		const estimated = writtenAt + offset;
-		return Math.abs(estimated - at) > mostGathered ? at : estimated;
+		return Math.abs(estimated - at) > maxBufferTime ? at : estimated;
 	}
 }
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -22,16 +22,16 @@
 };
 
 /** Characters in one program. */
-export const longestProgram = 1000;
+export const maxProgramLength = 1000;
 
 /** Levels of nesting in one program. */
-export const deepestProgram = 24;
+export const maxProgramDepth = 24;
 
 /** Bounds on what programs may give; values outside are brought to the nearest. */
-const weightRange = {least: 0.01, most: 100};
+const weightRange = {min: 0.01, max: 100};
 
 /** Calls that go over a list; none may be used, so that a program has no loops. */
-const loopingCalls = new Set(['all', 'exists', 'exists_one', 'map', 'filter', 'sortBy', 'matches']);
+const loopFunctions = new Set(['all', 'exists', 'exists_one', 'map', 'filter', 'sortBy', 'matches']);
 
 const environment = createEnvironment();
 
@@ -50,7 +50,7 @@
 	/** Weight of the organisation within its partner. */
 	evaluateWeight(context: PolicyContext): number {
 		const weight = this.#evaluateNumber('weight', context, 1);
-		return Math.min(weightRange.most, Math.max(weightRange.least, weight));
+		return Math.min(weightRange.max, Math.max(weightRange.min, weight));
 	}
 
 	/** Place of the request within its organisation; the least goes first. */
@@ -69,16 +69,16 @@
 		return Math.max(0, this.#evaluateNumber('limit', context, Number.POSITIVE_INFINITY));
 	}
 
-	#evaluateNumber(name: ProgramName, context: PolicyContext, byDefault: number): number {
+	#evaluateNumber(name: ProgramName, context: PolicyContext, defaultValue: number): number {
 		const value = this.#evaluate(name, context);
 		if (value === undefined) {
-			return byDefault;
+			return defaultValue;
 		}
 
 		const number = Number(value);
 		if (Number.isNaN(number)) {
 			this.#countFailure(name);
-			return byDefault;
+			return defaultValue;
 		}
 
 		return number;
@@ -135,52 +135,52 @@
 }
 
 function createEnvironment(): Environment {
-	let built = new Environment({unlistedVariablesAreDyn: false});
+	let result = new Environment({unlistedVariablesAreDyn: false});
 	for (const [name, schema] of Object.entries(variableTypes)) {
-		built = built.registerVariable(name, {schema});
+		result = result.registerVariable(name, {schema});
 	}
 
-	return built;
+	return result;
 }
 
 function compileProgram(name: ProgramName, text: string): Either<PolicyProblem, Program> {
-	const fail = (mend: string, position = 0): Either<PolicyProblem, Program> => Left({program: name, ...findPlace(text, position), mend});
-	if (text.length > longestProgram) {
-		return fail(`shorten the program to ${longestProgram} characters; it has ${text.length}`, longestProgram);
+	const fail = (mend: string, position = 0): Either<PolicyProblem, Program> => Left({program: name, ...findPosition(text, position), mend});
+	if (text.length > maxProgramLength) {
+		return fail(`shorten the program to ${maxProgramLength} characters; it has ${text.length}`, maxProgramLength);
 	}
 
 	try {
 		const parsed = environment.parse(text);
-		const refusal = findRefusal(parsed.ast, 1);
-		if (refusal !== undefined) {
-			return fail(refusal.mend, refusal.node.range.start);
+		const violation = findViolation(parsed.ast, 1);
+		if (violation !== undefined) {
+			return fail(violation.mend, violation.node.range.start);
 		}
 
 		const checked = parsed.check();
 		if (!checked.valid) {
-			return fail(describeError(checked.error), readStart(checked.error));
+			return fail(describeError(checked.error), findStart(checked.error));
 		}
 
-		const isRight = programTypes[name] === 'bool' ? checked.type === 'bool' : ['int', 'double'].includes(checked.type ?? '');
-		return isRight ? Right(parsed as Program) : fail(`give a ${programTypes[name]}; this gives a ${checked.type}`);
+		const hasDeclaredType = programTypes[name] === 'bool' ? checked.type === 'bool' : ['int', 'double'].includes(checked.type ?? '');
+		return hasDeclaredType ? Right(parsed as Program) : fail(`give a ${programTypes[name]}; this gives a ${checked.type}`);
 	} catch (error) {
-		return fail(describeError(error), readStart(error));
+		return fail(describeError(error), findStart(error));
 	}
 }
 
-function findRefusal(node: ASTNode, depth: number): {node: ASTNode; mend: string} | undefined {
-	if (depth > deepestProgram) {
-		return {node, mend: `nest at most ${deepestProgram} levels deep`};
+function findViolation(node: ASTNode, depth: number): {node: ASTNode; mend: string} | undefined {
+	if (depth > maxProgramDepth) {
+		return {node, mend: `nest at most ${maxProgramDepth} levels deep`};
 	}
 
-	if ((node.op === 'call' || node.op === 'rcall') && loopingCalls.has(node.args[0])) {
+	if ((node.op === 'call' || node.op === 'rcall') && loopFunctions.has(node.args[0])) {
 		return {node, mend: `do without '${node.args[0]}': programs have no loops`};
 	}
 
 	for (const child of listChildren(node.args)) {
-		const refusal = findRefusal(child, depth + 1);
-		if (refusal !== undefined) {
-			return refusal;
+		const violation = findViolation(child, depth + 1);
+		if (violation !== undefined) {
+			return violation;
 		}
 	}
 
@@ -199,11 +199,11 @@
 	return (error as {summary?: string} | undefined)?.summary ?? readErrorMessage(error);
 }
 
-function readStart(error: unknown): number {
+function findStart(error: unknown): number {
 	return (error as {range?: {start: number}} | undefined)?.range?.start ?? 0;
 }
 
-function findPlace(text: string, position: number): {line: number; column: number} {
+function findPosition(text: string, position: number): {line: number; column: number} {
 	const before = text.slice(0, position).split('\n');
 	return {line: before.length, column: (before.at(-1)?.length ?? 0) + 1};
 }
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -17,7 +17,7 @@
 	mend: string;
 };
 
-const longestShownValue = 60;
+const maxShownLength = 60;
 const secretKeys = new Set(['secret', 'token_hash']);
 
 /** Reads and checks a settings file. */
@@ -62,7 +62,7 @@
 	if (issue.code === 'unrecognized_keys') {
 		return issue.keys.map(key => ({
 			key: [...issue.path, key].join('.'),
-			value: showValue(key, readPath(table, [...issue.path, key])),
+			value: formatValue(key, readPath(table, [...issue.path, key])),
 			mend: 'take this key out, or correct its spelling; docs/SETTINGS.md lists the keys',
 		}));
 	}
@@ -70,7 +70,7 @@
 	// A check over several keys may concern one that was left out and took its default.
 	const value: unknown = readPath(table, issue.path) ?? (issue.code === 'custom' ? issue.params?.value : undefined);
 	const mend = value === undefined ? `add this key: ${issue.message}` : issue.message;
-	return [{key: issue.path.join('.'), value: showValue(String(issue.path.at(-1)), value), mend}];
+	return [{key: issue.path.join('.'), value: formatValue(String(issue.path.at(-1)), value), mend}];
 }
 
 function readPath(table: unknown, path: PropertyKey[]): unknown {
@@ -82,7 +82,7 @@
 	return value;
 }
 
-function showValue(key: string, value: unknown): string {
+function formatValue(key: string, value: unknown): string {
 	if (value === undefined) {
 		return '(missing)';
 	}
@@ -92,7 +92,7 @@
 	}
 
 	const text = JSON.stringify(value);
-	return text.length > longestShownValue ? `${text.slice(0, longestShownValue)}…` : text;
+	return text.length > maxShownLength ? `${text.slice(0, maxShownLength)}…` : text;
 }
 
 function convertSettings(file: SettingsFile): Settings {
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -6,9 +6,9 @@
 const name = z.string({error: 'write a name in quotes'})
 	.regex(/^[a-z\d][a-z\d-]{0,62}$/, {error: 'use 1 to 63 lower-case letters, digits and hyphens, beginning with a letter or digit'});
 
-function defineWholeNumber(least: number, most: number, byDefault: number) {
-	const error = `write a whole number from ${least} to ${most}`;
-	return z.int({error}).min(least, {error}).max(most, {error}).default(byDefault);
+function defineWholeNumber(min: number, max: number, defaultValue: number) {
+	const error = `write a whole number from ${min} to ${max}`;
+	return z.int({error}).min(min, {error}).max(max, {error}).default(defaultValue);
 }
 
 const team = z.strictObject({
--- a/test/check-settings.test.ts
+++ b/test/check-settings.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from '@jest/globals';
 import {formatProblem, parseSettings} from '../src/settings/index.js';
 
-const whole = {
+const minimal = {
 	box: 'box = "box-1"',
 	region: 'region = "sic-east"',
 	zone: 'availability_zone = "catania-a"',
@@ -12,8 +12,8 @@
 	entry: '',
 };
 
-function write(changes: Partial<typeof whole>): string {
-	return Object.values({...whole, ...changes}).join('\n');
+function write(changes: Partial<typeof minimal>): string {
+	return Object.values({...minimal, ...changes}).join('\n');
 }
 
 function listProblems(text: string): string[] {
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -59,8 +59,8 @@
 	await call('/stream/', 'ask-0', 0);
 	await call('/stream/', 'ask-1', 1);
 	const files = await writeLogs(2);
-	const stories = [await explain('ask-0', files), await explain('ask-1', files)];
-	for (const [index, {steps, verdict, cause}] of stories.entries()) {
+	const explanations = [await explain('ask-0', files), await explain('ask-1', files)];
+	for (const [index, {steps, verdict, cause}] of explanations.entries()) {
 		const own = steps.filter(step => !step.isAround);
 		expect(own.map(step => step.event)).toEqual(['placed', 'call_ended']);
 		expect(own[1].node).toBe(`edge-${index}`);
@@ -69,7 +69,7 @@
 	}
 
 	// One node decides for both.
-	expect(new Set(stories.map(({steps}) => steps.find(step => step.event === 'placed')?.node)).size).toBe(1);
+	expect(new Set(explanations.map(({steps}) => steps.find(step => step.event === 'placed')?.node)).size).toBe(1);
 });
 
 test('a retry is told with the server that was left and why', async () => {
--- a/test/helpers/commands.ts
+++ b/test/helpers/commands.ts
@@ -7,7 +7,7 @@
 export type CommandEnd = {code: number; out: string; error: string};
 
 /** Runs one command; the process' own exit code stays as it was. */
-export async function runCommand(...words: string[]): Promise<CommandEnd> {
+export async function runCommand(...args: string[]): Promise<CommandEnd> {
 	const end: CommandEnd = {code: 0, out: '', error: ''};
 	const {exitCode} = process;
 	const [writeOut, writeError] = [process.stdout.write, process.stderr.write];
@@ -23,7 +23,7 @@
 
 	process.exitCode = undefined;
 	try {
-		await createProgram().parseAsync(words, {from: 'user'});
+		await createProgram().parseAsync(args, {from: 'user'});
 		end.code = Number(process.exitCode ?? 0);
 	} catch (error) {
 		if (!(error instanceof CommanderError)) {
--- a/test/operations-page.test.ts
+++ b/test/operations-page.test.ts
@@ -1,6 +1,6 @@
 import {readFile} from 'node:fs/promises';
 import {expect, test} from '@jest/globals';
-import {describeRequest, parseLogLine, StoryGatherer} from '../src/logs/index.js';
+import {describeRequest, parseLogLine, TimelineCollector} from '../src/logs/index.js';
 
 test('what the operators\' page quotes of explain is what it says of the lines that stand there', async () => {
 	const page = await readFile('docs/OPERATIONS.md', 'utf8');
@@ -8,11 +8,11 @@
 	expect(quoted).toHaveLength(3);
 	for (const {groups} of quoted) {
 		const lines = groups!.lines.trim().split('\n').map(text => parseLogLine(text, 'edge')!);
-		const gatherer = new StoryGatherer(String(lines[0].fields.request));
+		const collector = new TimelineCollector(String(lines[0].fields.request));
 		for (const line of lines) {
-			gatherer.add(line);
+			collector.add(line);
 		}
 
-		expect(describeRequest(gatherer.finish()!).cause).toBe(groups!.cause);
+		expect(describeRequest(collector.finish()!).cause).toBe(groups!.cause);
 	}
 });
--- a/test/policies.test.ts
+++ b/test/policies.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from '@jest/globals';
 import {
-	compilePolicy, deepestProgram, formatPolicyProblem, longestProgram, type PolicyContext, type PolicyTexts,
+	compilePolicy, maxProgramDepth, formatPolicyProblem, maxProgramLength, type PolicyContext, type PolicyTexts,
 } from '../src/policy/index.js';
 
 const context: PolicyContext = {
@@ -51,8 +51,8 @@
 });
 
 test('bounds length and depth', () => {
-	expect(listProblems({order: `1.0${' + 1.0'.repeat(longestProgram)}`})[0]).toContain('shorten the program');
-	expect(listProblems({order: `${'('.repeat(deepestProgram)}1.0${' + 1.0)'.repeat(deepestProgram)}`})[0]).toContain('nest at most');
+	expect(listProblems({order: `1.0${' + 1.0'.repeat(maxProgramLength)}`})[0]).toContain('shorten the program');
+	expect(listProblems({order: `${'('.repeat(maxProgramDepth)}1.0${' + 1.0)'.repeat(maxProgramDepth)}`})[0]).toContain('nest at most');
 });
 
 test('an error at run time takes the default and is counted', () => {
--- a/test/report.test.ts
+++ b/test/report.test.ts
@@ -7,8 +7,8 @@
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
 import {createLogger} from '../src/common/index.js';
-import {DayGatherer, parseLogLine, type DaySummary} from '../src/logs/index.js';
-import {divideEvenly} from '../src/logs/page/scale.js';
+import {DayCollector, parseLogLine, type DaySummary} from '../src/logs/index.js';
+import {createLinearScale} from '../src/logs/page/scale.js';
 import {runCommand} from './helpers/commands.js';
 import {GatewayFleet, waitUntil} from './helpers/gateways.js';
 import {LogCapture} from './helpers/logs.js';
@@ -30,13 +30,13 @@
 };
 
 /** Sums up lines as a collector gives them: its seconds, the node, the line. */
-function sumUp(...lines: Array<[number, string, Record<string, unknown>]>): DaySummary {
-	const gatherer = new DayGatherer();
+function summarise(...lines: Array<[number, string, Record<string, unknown>]>): DaySummary {
+	const collector = new DayCollector();
 	for (const [seconds, node, fields] of lines) {
-		gatherer.add(parseLogLine(`${seconds} ${node} ${JSON.stringify(fields)}`, 'day')!);
+		collector.add(parseLogLine(`${seconds} ${node} ${JSON.stringify(fields)}`, 'day')!);
 	}
 
-	return gatherer.finish()!;
+	return collector.finish()!;
 }
 
 async function writeLog(name: string, text: string): Promise<string> {
@@ -103,7 +103,7 @@
 });
 
 test('worth is that of the planner: a late answer keeps a quarter, what is not served loses all, what has no route is owed nothing', () => {
-	const {brought, lengths, losses} = sumUp(
+	const {valueShare, lengths, losses} = summarise(
 		[2, 'a', {...ended, request: 'r1'}],
 		[3, 'a', {...ended, request: 'r2', firstAfter: 400}],
 		[4, 'a', {...ended, request: 'r3', longestPause: 300}],
@@ -115,7 +115,7 @@
 		}],
 	);
 	// Four calls of 10,000 tokens of worth: 1, 0.25, 0.25 and 0 of it.
-	expect(brought).toBeCloseTo(1.5 / 4);
+	expect(valueShare).toBeCloseTo(1.5 / 4);
 	expect(lengths).toHaveLength(1);
 	expect(lengths[0]).toMatchObject({
 		length: 'under 15,000 tokens', calls: 4, byVerdict: {
@@ -134,11 +134,11 @@
 	['one just below the last bound', 79_999, 'under 80,000'],
 	['one at the last bound', 80_000, '80,000 and more'],
 ])('%s is summed with its length', (_name, promptTokens, length) => {
-	expect(sumUp([2, 'a', {...ended, request: 'r1', promptTokens}]).lengths.map(row => row.length)).toEqual([length]);
+	expect(summarise([2, 'a', {...ended, request: 'r1', promptTokens}]).lengths.map(row => row.length)).toEqual([length]);
 });
 
 test('the error of predictions leaves out waiting, and calls that were sent more than once', () => {
-	const {lengths} = sumUp(
+	const {lengths} = summarise(
 		[1, 'b', {event: 'placed', request: 'r1', waited: 50}],
 		[2, 'a', {...ended, request: 'r1', firstAfter: 170}],
 		[2, 'a', {...ended, request: 'r2', firstAfter: 130}],
@@ -146,11 +146,11 @@
 			...ended, request: 'r3', firstAfter: 290, sends: 2,
 		}],
 	);
-	expect(lengths[0].error).toEqual({p50: 30, p90: 30, count: 2});
+	expect(lengths[0].predictionError).toEqual({p50: 30, p90: 30, count: 2});
 });
 
 test('the calls that lost most come first, each with its cause and decisions, whichever file holds them', () => {
-	const {worst} = sumUp(
+	const {worstCalls} = summarise(
 		[2, 'a', {...ended, request: 'small', firstAfter: 400}],
 		[3, 'a', {
 			...ended, request: 'large', firstAfter: 400, promptTokens: 90_000,
@@ -162,20 +162,20 @@
 			event: 'waits', request: 'large', node: 'a', reason: 'reading',
 		}],
 	);
-	expect(worst.map(({call}) => call.request)).toEqual(['large', 'small']);
-	expect(worst[0].cause).toContain('it waited 290 ms for its place, since servers were still read or others read first');
-	expect(worst[0].steps.map(step => step.event)).toEqual(['waits', 'placed', 'call_ended']);
+	expect(worstCalls.map(({call}) => call.request)).toEqual(['large', 'small']);
+	expect(worstCalls[0].cause).toContain('it waited 290 ms for its place, since servers were still read or others read first');
+	expect(worstCalls[0].steps.map(step => step.event)).toEqual(['waits', 'placed', 'call_ended']);
 });
 
 test('a change of the deciding node is one row with how many nodes say so', () => {
 	const change = {event: 'decider_changed', service: 'model'};
-	const {deciders} = sumUp([1, 'a', {...change, to: 'a'}], [1.1, 'b', {...change, to: 'a'}], [5, 'a', {...change, to: 'b'}], [6, 'a', {...ended, request: 'r1'}]);
-	expect(deciders).toEqual([
+	const {schedulerChanges} = summarise([1, 'a', {...change, to: 'a'}], [1.1, 'b', {...change, to: 'a'}], [5, 'a', {...change, to: 'b'}], [6, 'a', {...ended, request: 'r1'}]);
+	expect(schedulerChanges).toEqual([
 		{
-			at: 1000, service: 'model', to: 'a', tellers: 2,
+			at: 1000, service: 'model', to: 'a', nodeCount: 2,
 		},
 		{
-			at: 5000, service: 'model', to: 'b', tellers: 1,
+			at: 5000, service: 'model', to: 'b', nodeCount: 1,
 		},
 	]);
 });
@@ -224,7 +224,7 @@
 });
 
 test('an axis of counts has whole marks, however few there are', () => {
-	expect(divideEvenly(0, 3, 1).ticks).toEqual([0, 1, 2, 3]);
-	expect(divideEvenly(0, 3).ticks).toEqual([0, 0.5, 1, 1.5, 2, 2.5, 3]);
-	expect(divideEvenly(0, 120, 1).ticks).toEqual([0, 20, 40, 60, 80, 100, 120]);
+	expect(createLinearScale(0, 3, 1).ticks).toEqual([0, 1, 2, 3]);
+	expect(createLinearScale(0, 3).ticks).toEqual([0, 0.5, 1, 1.5, 2, 2.5, 3]);
+	expect(createLinearScale(0, 120, 1).ticks).toEqual([0, 20, 40, 60, 80, 100, 120]);
 });
