--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,4 +1,4 @@
-/** Reads a settings file: TOML text in, checked settings or a list of problems out. */
+/** Parses and validates TOML settings files. */
 import {readFile} from 'node:fs/promises';
 import {Either, Left, Right} from 'purify-ts';
 import {parse, TomlError} from 'smol-toml';
@@ -7,11 +7,11 @@
 import {settingsSchema, type SettingsFile} from './schema.js';
 import type {Settings} from './settings.js';
 
-/** One thing wrong with a settings file. */
+/** A validation error in a settings file. */
 export type SettingsProblem = {
-	/** Key as written in the file, dotted; empty for the file as a whole. */
+	/** Dotted key as written in the file; empty if the problem concerns the whole file. */
 	key: string;
-	/** The value found, shortened; `(hidden)` for secrets. */
+	/** The value found, truncated; `(hidden)` for secrets. */
 	value: string;
 	/** What to write instead. */
 	mend: string;
@@ -20,7 +20,7 @@
 const maxShownLength = 60;
 const secretKeys = new Set(['secret', 'token_hash']);
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export async function loadSettings(path: string): Promise<Either<SettingsProblem[], Settings>> {
 	try {
 		return parseSettings(await readFile(path, 'utf8'));
@@ -29,12 +29,12 @@
 	}
 }
 
-/** Checks the text of a settings file. */
+/** Parses and validates the text of a settings file. */
 export function parseSettings(text: string): Either<SettingsProblem[], Settings> {
 	return checkToml(text, settingsSchema).map(file => convertSettings(file));
 }
 
-/** Parses TOML and checks it against a schema; says of each problem how to mend it. */
+/** Parses TOML and validates it against a schema; each problem says how to fix it. */
 export function checkToml<Shape>(text: string, schema: z.ZodType<Shape>): Either<SettingsProblem[], Shape> {
 	const parsed = Either.encase(() => parse(text)).mapLeft(error => [describeTomlError(error)]);
 	return parsed.chain(table => {
@@ -47,7 +47,7 @@
 	});
 }
 
-/** Formats a problem as one line for people. */
+/** Formats a problem as one line of text. */
 export function formatProblem(problem: SettingsProblem): string {
 	const where = problem.key === '' ? 'settings' : problem.key;
 	return `${where} = ${problem.value}: ${problem.mend}`;
@@ -67,7 +67,7 @@
 		}));
 	}
 
-	// A check over several keys may concern one that was left out and took its default.
+	// A check across several keys may fail on a key that was omitted and has its default.
 	const value: unknown = readPath(table, issue.path) ?? (issue.code === 'custom' ? issue.params?.value : undefined);
 	const mend = value === undefined ? `add this key: ${issue.message}` : issue.message;
 	return [{key: issue.path.join('.'), value: formatValue(String(issue.path.at(-1)), value), mend}];
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -1,4 +1,4 @@
-/** The checks on a settings file: types, ranges, defaults. */
+/** Schema of the settings file: types, ranges and defaults. */
 import * as z from 'zod';
 
 const ipNumber = z.union([z.ipv4(), z.ipv6()], {error: 'write an IP number such as "10.0.0.5"; names are not looked up'});
@@ -37,7 +37,7 @@
 	}
 });
 
-/** The shape of a settings file; keys as written in TOML. */
+/** Schema of a settings file, with keys as written in TOML. */
 export const settingsSchema = z.strictObject({
 	box: name,
 	region: name,
@@ -59,5 +59,5 @@
 	metrics: z.strictObject({host: ipNumber, port: port.default(8125)}).optional(),
 });
 
-/** A settings file as parsed, before its keys are renamed. */
+/** A parsed settings file, before its keys are converted to camel case. */
 export type SettingsFile = z.infer<typeof settingsSchema>;
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,65 +1,65 @@
-/** The settings of a node, as read from its TOML file. `docs/SETTINGS.md` has a section on each. */
+/** Types of a node's settings file. `docs/SETTINGS.md` documents every key. */
 
 /** A TCP listener. */
 export type ListenerSettings = {
-	/** IP number to listen on, and the one told to others. */
+	/** IP address to listen on and to advertise. */
 	host: string;
 	/**
-	 * Port to listen on; 0 takes a free one.
+	 * Port to listen on; 0 selects a free port.
 	 *
 	 * @default 0
 	 */
 	port: number;
 };
 
-/** An operator team that may use the operators' listener. */
+/** A team with access to the operators' listener. */
 export type OperatorSettings = {
-	/** Name of the partner the team belongs to. */
+	/** Name of the team's partner. */
 	partner: string;
-	/** SHA-256 of the team's token, hexadecimal. */
+	/** SHA-256 of the team's token, in hexadecimal. */
 	tokenHash: string;
 };
 
-/** Limits on the callers' side of a node. */
+/** Limits for requests from callers. */
 export type EntrySettings = {
 	/**
-	 * Seconds for which callers may keep an answer of `/v1/addresses`.
+	 * Seconds for which callers may cache a response of `/v1/addresses`.
 	 *
 	 * @default 30
 	 */
 	addressLifetimeSeconds: number;
 	/**
-	 * Seconds for which a run key can be used after the address answer it was made from.
+	 * Seconds for which a run key is valid, counted from the address response it was created from.
 	 *
 	 * @default 600
 	 */
 	runKeyLifetimeSeconds: number;
 	/**
-	 * Largest request body, in mebibytes.
+	 * Maximum size of a request body, in mebibytes.
 	 *
 	 * @default 16
 	 */
 	bodyLimitMebibytes: number;
 	/**
-	 * Mebibytes of request bodies held at once; more are refused with `node_busy`.
+	 * Mebibytes of request bodies buffered at once; requests beyond it are refused with `node_busy`.
 	 *
 	 * @default 256
 	 */
 	heldBodiesMebibytes: number;
 	/**
-	 * Mebibytes of outcomes kept for run keys; past it, the oldest answers are dropped and only the fact is kept.
+	 * Mebibytes of outcomes stored for run keys. Beyond it, the oldest responses are dropped and only the fact that the key ran is kept.
 	 *
 	 * @default 64
 	 */
 	keptOutcomesMebibytes: number;
 	/**
-	 * Requests in progress at once; more are refused with `node_busy`.
+	 * Maximum number of requests in progress; more are refused with `node_busy`.
 	 *
 	 * @default 2000
 	 */
 	requestLimit: number;
 	/**
-	 * Retries allowed, as a share of recent requests.
+	 * Retry budget, as a share of recent requests.
 	 *
 	 * @default 0.1
 	 */
@@ -68,40 +68,40 @@
 
 /** Settings of one node. */
 export type Settings = {
-	/** Name of the box; unique. */
+	/** Unique name of the box. */
 	box: string;
 	/** Region of the box. */
 	region: string;
 	/** Availability zone of the box. */
 	availabilityZone: string;
-	/** Where callers connect. */
+	/** Listener for callers. */
 	callers: ListenerSettings;
-	/** Where operators connect. */
+	/** Listener for operators. */
 	operators: ListenerSettings & {teams: OperatorSettings[]};
-	/** Where other nodes connect. */
+	/** Listener for other nodes. */
 	nodes: ListenerSettings & {
-		/** Secret shared by all nodes; a message without it is refused. */
+		/** Secret shared by all nodes; messages without it are refused. */
 		secret: string;
 	};
-	/** The platform's object API. */
+	/** Object API of the platform. */
 	platform: {
 		/** Base URL. */
 		url: string;
 	};
-	/** Limits on the callers' side. */
+	/** Limits for requests from callers. */
 	entry: EntrySettings;
-	/** Logs. */
+	/** Log output. */
 	log: {
 		/**
-		 * Least level written: `debug`, `info`, `warn`, `error` or `silent`.
+		 * Minimum level written: `debug`, `info`, `warn`, `error` or `silent`.
 		 *
 		 * @default "info"
 		 */
 		level: 'debug' | 'info' | 'warn' | 'error' | 'silent';
 	};
-	/** Metrics, sent as StatsD over UDP; left out, none are sent. */
+	/** Metrics, sent as StatsD over UDP; none are sent when omitted. */
 	metrics?: {
-		/** IP number of the collector. */
+		/** IP address of the collector. */
 		host: string;
 		/**
 		 * Port of the collector.
