--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -1,10 +1,8 @@
 /**
- * Policies: short CEL programs that say how a partner's work is weighed, limited and ordered.
+ * Compiles and evaluates policies: short CEL programs that set the weights, limits and order of a partner's requests.
  *
- * Programs are checked against the declared types when they are applied. They
- * have no loops and bounded length and depth, so each evaluation ends within
- * microseconds; one partner's program cannot slow the other's work. An error
- * at run time takes the program's default and is counted.
+ * Programs are type-checked when applied. They have no loops and a bounded length and depth, so each evaluation
+ * takes microseconds and one partner cannot slow down another. A run-time error is counted and yields the default.
  */
 import {Environment, type ASTNode} from '@marcbachmann/cel-js';
 import {Left, Right, type Either} from 'purify-ts';
@@ -13,7 +11,7 @@
 	programTypes, variableTypes, type PolicyContext, type PolicyTexts, type ProgramName,
 } from './variables.js';
 
-/** Something wrong with a program. */
+/** A compile error in a policy program. */
 export type PolicyProblem = {
 	program: string;
 	line: number;
@@ -21,25 +19,25 @@
 	mend: string;
 };
 
-/** Characters in one program. */
+/** Maximum length of a program, in characters. */
 export const maxProgramLength = 1000;
 
-/** Levels of nesting in one program. */
+/** Maximum nesting depth of a program. */
 export const maxProgramDepth = 24;
 
-/** Bounds on what programs may give; values outside are brought to the nearest. */
+/** Range that weights are clamped to. */
 const weightRange = {min: 0.01, max: 100};
 
-/** Calls that go over a list; none may be used, so that a program has no loops. */
+/** Functions that iterate over a list; they are rejected, so that evaluation time is bounded. */
 const loopFunctions = new Set(['all', 'exists', 'exists_one', 'map', 'filter', 'sortBy', 'matches']);
 
 const environment = createEnvironment();
 
 type Program = (context: PolicyContext) => unknown;
 
-/** The checked programs of one partner. */
+/** The compiled programs of one partner. */
 export class Policy {
-	/** Programs that have failed at run time, by name. */
+	/** Number of run-time errors by program. */
 	readonly failures = new Map<ProgramName, number>();
 	readonly #programs: Partial<Record<ProgramName, Program>>;
 
@@ -47,24 +45,24 @@
 		this.#programs = programs;
 	}
 
-	/** Weight of the organisation within its partner. */
+	/** Returns the scheduling weight of the organisation among those of its partner. */
 	evaluateWeight(context: PolicyContext): number {
 		const weight = this.#evaluateNumber('weight', context, 1);
 		return Math.min(weightRange.max, Math.max(weightRange.min, weight));
 	}
 
-	/** Place of the request within its organisation; the least goes first. */
+	/** Returns the sort key of the request within its organisation; lower values are served first. */
 	evaluateOrder(context: PolicyContext): number {
 		return this.#evaluateNumber('order', context, 0);
 	}
 
-	/** Whether the request is taken. */
+	/** Returns whether the request is admitted. */
 	evaluateAdmit(context: PolicyContext): boolean {
 		const value = this.#evaluate('admit', context);
 		return typeof value === 'boolean' ? value : true;
 	}
 
-	/** Most tokens the organisation may hold in the pool. */
+	/** Returns the maximum number of tokens the organisation may hold in the pool. */
 	evaluateLimit(context: PolicyContext): number {
 		return Math.max(0, this.#evaluateNumber('limit', context, Number.POSITIVE_INFINITY));
 	}
@@ -103,10 +101,10 @@
 	}
 }
 
-/** A policy that gives every program's default. */
+/** A policy without programs, which returns the defaults. */
 export const defaultPolicy = new Policy({});
 
-/** Checks and compiles the programs of a policy. */
+/** Type-checks and compiles the programs of a policy. */
 export function compilePolicy(texts: PolicyTexts): Either<PolicyProblem[], Policy> {
 	const programs: Partial<Record<ProgramName, Program>> = {};
 	const problems: PolicyProblem[] = [];
@@ -129,7 +127,7 @@
 	return problems.length > 0 ? Left(problems) : Right(new Policy(programs));
 }
 
-/** Formats a problem as one line for people. */
+/** Formats a problem as one line of text. */
 export function formatPolicyProblem(problem: PolicyProblem): string {
 	return `${problem.program}, line ${problem.line}, column ${problem.column}: ${problem.mend}`;
 }
--- a/src/policy/variables.ts
+++ b/src/policy/variables.ts
@@ -1,29 +1,29 @@
-/** What a policy program can see. `docs/POLICIES.md` explains each variable to operators. */
+/** Variables available to policy programs; documented for operators in `docs/POLICIES.md`. */
 
-/** The values of all variables; numbers are doubles, texts strings. */
+/** Values of all variables. CEL sees the numbers as doubles. */
 export type PolicyContext = {
 	request: {
-		/** Estimated tokens of the prompt. */
+		/** Estimated number of prompt tokens. */
 		promptTokens: number;
-		/** Tokens of output asked for. */
+		/** Number of output tokens requested. */
 		outputTokens: number;
 		/** Name of the service. */
 		service: string;
-		/** Milliseconds the caller can wait. */
+		/** Milliseconds that the caller waits at most. */
 		bound: number;
 	};
 	organisation: {
 		name: string;
-		/** Requests of the organisation that run in this pool. */
+		/** Number of the organisation's requests running in this pool. */
 		running: number;
-		/** Tokens its running requests hold in this pool. */
+		/** Tokens held by its running requests in this pool. */
 		tokensHeld: number;
 	};
 	pool: {
 		name: string;
-		/** Share of the pool's memory that is free, from 0 to 1. */
+		/** Free share of the pool's memory, from 0 to 1. */
 		freeShare: number;
-		/** Requests that wait. */
+		/** Number of queued requests. */
 		waiting: number;
 	};
 	now: {
@@ -31,12 +31,12 @@
 		hour: number;
 		/** Minute of the hour. */
 		minute: number;
-		/** Day of the week in UTC, 0 is Sunday. */
+		/** Day of the week in UTC; 0 is Sunday. */
 		weekday: number;
 	};
 };
 
-/** Types of the variables, as CEL names them. */
+/** CEL types of the variables. */
 export const variableTypes = {
 	request: {
 		promptTokens: 'double', outputTokens: 'double', service: 'string', bound: 'double',
@@ -46,20 +46,20 @@
 	now: {hour: 'double', minute: 'double', weekday: 'double'},
 } as const;
 
-/** The programs of a policy, with the type each must give. */
+/** Programs of a policy and their return types. */
 export const programTypes = {
-	/** Weight of the organisation within its partner; more is served more. */
+	/** Scheduling weight of the organisation among those of its partner. */
 	weight: 'number',
-	/** Order within the organisation; the least is served first. */
+	/** Sort key within the organisation; lower values are served first. */
 	order: 'number',
-	/** Whether the request is taken at all. */
+	/** Whether the request is admitted. */
 	admit: 'bool',
-	/** Most tokens that the organisation's running requests may hold in the pool. */
+	/** Maximum number of tokens that the organisation's running requests may hold in the pool. */
 	limit: 'number',
 } as const;
 
 /** Name of a program. */
 export type ProgramName = keyof typeof programTypes;
 
-/** The texts of a policy's programs; one left out takes its default. */
+/** Source of a policy's programs; an omitted program takes its default. */
 export type PolicyTexts = Partial<Record<ProgramName, string>>;
