--- a/src/logs/day-summary.ts
+++ b/src/logs/day-summary.ts
@@ -1,4 +1,4 @@
-/** Sums up a day from the logs of all nodes: how calls ended, what was decided, and where worth was lost. */
+/** Summarises a day of logs of all nodes: outcomes of calls, scheduling decisions and reasons for lost value. */
 import {findEndedCall, type EndedCall, type Verdict} from './ended-call.js';
 import {findCause, findLossGroup} from './find-cause.js';
 import {findNumber, findText, type LogLine} from './log-line.js';
@@ -7,60 +7,60 @@
 } from './request-timeline.js';
 import {WriterClocks} from './writer-clocks.js';
 
-/** Lengths of prompts that are summed apart, each up to so many tokens. */
+/** Classes of prompt length, each with its upper bound in tokens. */
 const lengthClasses: Array<[string, number]> = [['plain', 0], ['under 15,000 tokens', 15_000], ['under 80,000', 80_000], ['80,000 and more', Infinity]];
 
-/** Calls that lost most, told one by one. */
+/** Maximum number of calls listed one by one, those with the largest loss first. */
 const maxWorstCalls = 60;
 
-/** Least time that counts as one of the wall, in milliseconds: collectors count from their start. */
+/** Earliest time taken as wall time, in milliseconds; smaller values count from the start of the log collector. */
 const minWallTime = Date.UTC(2000);
 
-/** One kind of call, by the length of its prompt. */
+/** Outcomes of the calls of one class of prompt length. */
 export type LengthRow = {
 	length: string;
 	calls: number;
 	byVerdict: Partial<Record<Verdict, number>>;
-	/** Share of the worth that was brought, and the part that this kind lost of the worth of all. */
+	/** Share of the value of this class that was delivered, and the value it lost as a share of that of all calls. */
 	valueShare: number;
 	lostShare: number;
-	/** How much later than predicted the first event came where a call was sent once, in milliseconds. */
+	/** Delay of the first event beyond the prediction, in milliseconds, for calls that were sent once. */
 	predictionError?: {p50: number; p90: number; count: number};
 };
 
-/** One reason for which worth was lost. */
+/** Value lost for one reason, as a share of the value of all calls. */
 export type LossRow = {reason: string; calls: number; share: number};
 
-/** A decision: a place, a wait or a refusal, or a node that passed the decider over. */
+/** A scheduling decision: a placement, a wait, a refusal, or a node bypassing the scheduler. `waited` is in milliseconds. */
 export type DayDecision = {at: number; node: string; event: string; service: string | undefined; waited: number};
 
-/** A call that lost much. */
+/** A call that lost value, with its cause and log lines. */
 export type WorstCall = {call: EndedCall; cause: string; steps: LogLine[]};
 
-/** A day in figures. Times in milliseconds since `origin`. */
+/** Summary of a day. Times are in milliseconds since `origin`. */
 export type DaySummary = {
-	/** Wall time at which the times begin; undefined where a collector counted. */
+	/** Wall time of the first arrival; undefined if the times count from the start of a log collector. */
 	origin: string | undefined;
-	/** All calls by the time they came. */
+	/** All calls, sorted by arrival. */
 	calls: Array<EndedCall & {arrivedAt: number}>;
 	decisions: DayDecision[];
-	/** Changes of who decides. */
+	/** Changes of a service's scheduler, with the number of nodes that reported each. */
 	schedulerChanges: Array<{at: number; service: string; to: string; nodeCount: number}>;
 	lengths: LengthRow[];
 	losses: LossRow[];
 	worstCalls: WorstCall[];
-	/** Share of the worth of all calls that was brought. */
+	/** Share of the value of all calls that was delivered. */
 	valueShare: number;
 };
 
-/** Gathers the lines of a day. */
+/** Collects the log lines of a day. */
 export class DayCollector {
 	readonly #ends = new Map<string, EndedCall>();
 	readonly #lines = new Map<string, LogLine[]>();
 	readonly #fleet: LogLine[] = [];
 	readonly #clocks = new WriterClocks();
 
-	/** Takes a line of any node. */
+	/** Adds a line of any node. */
 	add(line: LogLine): void {
 		this.#clocks.add(line);
 		const request = findText(line, 'request');
@@ -85,7 +85,7 @@
 		}
 	}
 
-	/** The day; undefined when no call ended in it. */
+	/** Returns the summary; undefined if no call ended. */
 	finish(): DaySummary | undefined {
 		if (this.#ends.size === 0) {
 			return undefined;
@@ -155,7 +155,7 @@
 	return at - took;
 }
 
-/** Each node writes down what it chooses; one row a choice, with how many made it. */
+/** Every node logs the scheduler it chooses; equal choices in succession are merged into one row. */
 function listSchedulerChanges(fleet: LogLine[], origin: number): DaySummary['schedulerChanges'] {
 	const rows: DaySummary['schedulerChanges'] = [];
 	const last = new Map<string, DaySummary['schedulerChanges'][number]>();
@@ -184,7 +184,7 @@
 function summariseLength(index: number, all: EndedCall[], totalValue: number, findWaitTime: (call: EndedCall) => number): LengthRow[] {
 	const [length, max] = lengthClasses[index];
 	const min = index === 0 ? -Infinity : lengthClasses[index - 1][1];
-	// The plain ones are up to 0 tokens, the next begin at one.
+	// Calls without a prompt have 0 tokens, so the next class begins at 1.
 	const isInClass = ({promptTokens}: EndedCall) => index < 2 ? promptTokens > min && promptTokens <= Math.max(0, max - 1) : promptTokens >= min && promptTokens < max;
 	const calls = all.filter(call => call.verdict !== 'rejected' && isInClass(call));
 	if (calls.length === 0) {
--- a/src/logs/ended-call.ts
+++ b/src/logs/ended-call.ts
@@ -1,21 +1,21 @@
-/** How a call ended, by the last line about it, and what that brought. */
+/** Reads the outcome of a call from its last log line and computes the value delivered. */
 import {computeValue, lateValueShare} from '../planning/index.js';
 import {
 	findNumber, findText, listTexts, type LogLine,
 } from './log-line.js';
 
-/** How an ended call is judged. */
+/** Classification of an ended call. */
 export type Verdict = 'in aim' | 'late first' | 'long pause' | 'late and long pause' | 'refused' | 'broken off' | 'left by caller' | 'failed' | 'rejected';
 
-/** All verdicts, the good one first; `rejected` is what no answer was owed to. */
+/** All verdicts, the successful one first; `rejected` calls count neither as served nor as lost. */
 export const verdicts: Verdict[] = ['in aim', 'late first', 'long pause', 'late and long pause', 'refused', 'broken off', 'left by caller', 'failed', 'rejected'];
 
-/** The end of a call. */
+/** Outcome of a call. Durations are in milliseconds. */
 export type EndedCall = {
 	request: string;
-	/** When it ended, in milliseconds of the log's time. */
+	/** When it ended, in milliseconds of log time. */
 	at: number;
-	/** The node that took it. */
+	/** Node that accepted the call. */
 	node: string;
 	service: string | undefined;
 	promptTokens: number;
@@ -30,20 +30,20 @@
 	objective: number | undefined;
 	longestPause: number | undefined;
 	pauseAim: number | undefined;
-	/** From the last event to the end, when the answer was not whole. */
+	/** Time from the last event to the end, if the response was incomplete. */
 	sinceLastEvent: number | undefined;
 	callerWaits: number | undefined;
 	took: number;
-	/** Version of the configuration by which it was judged, and for how long no node had heard the store by then, in milliseconds. */
+	/** Version of the configuration used for the call, and the time since any node had last heard from the store. */
 	configVersion: number | undefined;
 	configAge: number | undefined;
 	verdict: Verdict;
-	/** What an answer in aim is worth, and what was lost of it, in tokens. */
+	/** Value of a response that meets its objectives, and how much of it was lost, in tokens. */
 	value: number;
 	lostValue: number;
 };
 
-/** Reads the end of a call from its last line; undefined for other lines. */
+/** Reads the outcome of a call from its last line; undefined for other lines. */
 export function findEndedCall(line: LogLine): EndedCall | undefined {
 	const request = findText(line, 'request');
 	if (request === undefined || (line.event !== 'call_ended' && line.event !== 'call_refused')) {
@@ -57,7 +57,7 @@
 		service: findText(line, 'service'),
 		promptTokens: findNumber(line, 'promptTokens') ?? 0,
 		outcome: findText(line, 'outcome') ?? findText(line, 'kind') ?? 'unknown',
-		// A call that found no route or key has its reason as the message.
+		// For calls without a route or key, the reason is the log message.
 		reason: findText(line, 'reason') ?? (line.event === 'call_refused' ? findText(line, 'msg') : undefined),
 		status: findNumber(line, 'status'),
 		sends: findNumber(line, 'sends') ?? 0,
@@ -81,7 +81,7 @@
 	};
 }
 
-/** A time is only judged where the line states what was aimed at. */
+/** Classifies a call; times are only compared where the line states an objective. */
 function classifyCall(call: Omit<EndedCall, 'verdict' | 'value' | 'lostValue'>): Verdict {
 	if (call.outcome === 'whole') {
 		const isLate = (call.firstAfter ?? 0) > (call.objective ?? Infinity);
@@ -101,7 +101,7 @@
 		return 'broken off';
 	}
 
-	// What is wrong with a request itself costs nobody an answer that was owed.
+	// An invalid request is no failure to serve.
 	if (call.sends === 0 && call.status !== undefined && call.status >= 400 && call.status < 500) {
 		return 'rejected';
 	}
@@ -109,7 +109,7 @@
 	return call.sends === 0 || call.status === 503 ? 'refused' : 'failed';
 }
 
-/** Share of its worth that an answer loses: a late one keeps a part. */
+/** Share of its value that a response loses; a late one keeps a part. */
 function findLostShare(verdict: Verdict): number {
 	if (verdict === 'in aim' || verdict === 'rejected') {
 		return 0;
--- a/src/logs/explain-request.ts
+++ b/src/logs/explain-request.ts
@@ -1,39 +1,39 @@
-/** Explains one request: its decisions in order, and its cause. Pure. */
+/** Explains the outcome of one request: its cause and the decisions in order. */
 import {findCause} from './find-cause.js';
 import {findText, type LogLine} from './log-line.js';
 import {sortByTime, type RequestTimeline} from './request-timeline.js';
 
-/** One decision about the request, or what befell a server or node it met. */
+/** A decision about the request, or an event of a server or node involved in it. */
 export type ExplainedStep = {
 	/** Milliseconds since the request's first line. */
 	after: number;
 	node: string;
 	event: string;
-	/** Whether it is about a server or node, not the request itself. */
+	/** Whether the event concerns a server or node rather than the request itself. */
 	isAround: boolean;
 	facts: Record<string, unknown>;
 };
 
-/** A request explained. */
+/** Explanation of a request. */
 export type Explanation = {
 	request: string;
 	cause: string;
 	verdict: string;
-	/** Time of its first line as the log has it: wall time, or milliseconds of the collector's. */
+	/** Time of its first line: wall time, or milliseconds since the start of the log collector. */
 	startedAt: string | number;
 	steps: ExplainedStep[];
 };
 
-/** Facts that are told first, in this order; the rest of a line follows. */
+/** Fields shown first, in this order; the others follow. */
 const leadingFields = ['outcome', 'status', 'kind', 'reason', 'server', 'after', 'waited', 'expectedFirst', 'firstAfter', 'objective', 'longestPause', 'pauseAim', 'took'];
 
-/** Fields that every line has or that the step tells already. */
+/** Fields that are not shown, since every line has them or the step contains them. */
 const omittedFields = new Set(['event', 'level', 'time', 'msg', 'request']);
 
-/** Least time that counts as one of the wall, in milliseconds: collectors count from their start. */
+/** Earliest time taken as wall time, in milliseconds; smaller values count from the start of the log collector. */
 const minWallTime = Date.UTC(2000);
 
-/** Explains the timeline of a request. */
+/** Derives the explanation from the timeline of a request. */
 export function describeRequest(timeline: RequestTimeline): Explanation {
 	const [first] = timeline.lines;
 	const related = new Set(timeline.related);
@@ -52,7 +52,7 @@
 	};
 }
 
-/** Formats an explanation as text: the cause, then a line each step. */
+/** Formats an explanation as text: the cause, then one line for each step. */
 export function formatExplanation({
 	request, cause, startedAt, steps,
 }: Explanation): string {
@@ -63,7 +63,7 @@
 	return [`${request}: ${cause}`, '', `Since ${since}; · marks what befell its servers and nodes:`, ...rows, ''].join('\n');
 }
 
-/** The facts of a line as one text. */
+/** Formats the fields of a line as one string. */
 export function listFacts(line: LogLine): string {
 	return formatFacts(pickFacts(line));
 }
--- a/src/logs/find-cause.ts
+++ b/src/logs/find-cause.ts
@@ -1,4 +1,4 @@
-/** Says in one sentence why a request ended as it did. Pure. */
+/** Derives the cause of a request's outcome, as one sentence, from its timeline. */
 import {formatTime} from './format-time.js';
 import {
 	findNumber, findText, listTexts, type LogLine,
@@ -6,13 +6,13 @@
 import type {EndedCall, Verdict} from './ended-call.js';
 import type {RequestTimeline} from './request-timeline.js';
 
-/** Share of what its caller waits for after which the caller's leaving is its own limit. */
+/** Share of the caller's timeout after which a disconnect is attributed to that timeout. */
 const callerLimitShare = 0.9;
 
-/** A wait or a delay of more than this share of the objective is named as the cause of a late first event. */
+/** A wait of more than this share of the objective is reported as the cause of a late first event. */
 const minCauseShare = 0.3;
 
-/** Finds the cause. */
+/** Returns the cause as one sentence. */
 export function findCause(timeline: RequestTimeline): string {
 	if (timeline.ended === undefined) {
 		return describeUnfinished(timeline);
@@ -21,7 +21,7 @@
 	return verdictDescribers[timeline.ended.verdict](timeline, timeline.ended);
 }
 
-/** Finds the group of causes that a call lost its worth by, for sums over a day. */
+/** Returns the group of causes for which a call lost value, for totals over a day. */
 export function findLossGroup(timeline: RequestTimeline, ended: EndedCall): string {
 	const budgetNote = timeline.lines.some(line => line.event === 'retry_refused' || line.event === 'retry_not_granted') ? ', no retry left' : '';
 	if (ended.verdict === 'late first' || ended.verdict === 'late and long pause') {
@@ -58,7 +58,7 @@
 	return `It was refused with ${ended.status} (${ended.outcome})${attempts}: ${findReason(timeline, ended)}${describeConfigAge(ended)}${describeRefusal(timeline)}.`;
 }
 
-/** How old the view was by which a route or key was not known. */
+/** For a rejected request, describes how current the configuration was. */
 function describeConfigAge({verdict, configVersion, configAge}: EndedCall): string {
 	return verdict === 'rejected' && configVersion !== undefined && configAge !== undefined
 		? `; the node had version ${configVersion} of the configuration, and the store was last heard by a node ${formatTime(configAge)} before`
@@ -81,7 +81,7 @@
 		: `${left}, after a first event at ${formatTime(ended.firstAfter)}, in a silence of ${formatTime(ended.sinceLastEvent)}${prefixText('; ', findPlannedPause(timeline))}.`;
 }
 
-/** No line tells the end: the node that took it has gone, or its log is not among the files. */
+/** Describes a request without a logged end: its node terminated, or its log is missing. */
 function describeUnfinished({lines, related}: RequestTimeline): string {
 	const entryNode = lines.map(line => findText(line, 'node')).find(node => node !== undefined) ?? lines[0].writer;
 	const crash = lines.find(line => line.event === 'call_crashed');
@@ -108,7 +108,7 @@
 	return findLateCause(timeline, ended).text;
 }
 
-/** Why a first event came late: one of a few groups, and the sentence. */
+/** Finds why a first event was late: the group for totals, and a description. */
 function findLateCause(timeline: RequestTimeline, ended: EndedCall): {group: string; text: string} {
 	const retries = timeline.lines.filter(line => line.event === 'retry');
 	if (retries.length > 0) {
@@ -158,7 +158,7 @@
 		: `the stream went on elsewhere, since ${describeRetry(retry, timeline)}`;
 }
 
-/** Which long read beside it explains a silence: the longest of those planned at its servers while it ran; undefined when there was none. */
+/** Finds the prefill with the longest pause planned on the request's servers while it ran; undefined if there was none. */
 function findPlannedPause({lines, related}: RequestTimeline): string | undefined {
 	const servers = new Set(lines.flatMap(line => [findText(line, 'server'), ...listTexts(line, 'servers')]));
 	const [from, until] = [lines[0].at, lines.at(-1)!.at];
@@ -186,7 +186,7 @@
 	].join('');
 }
 
-/** Why a request that had been sent was not tried again, or what had become of its servers. */
+/** Describes why a request that had been sent was not retried, and the state of its servers. */
 function describeNoRetry(timeline: RequestTimeline, ended: EndedCall): string {
 	if (ended.outcome === 'bound_passed_running') {
 		return `; ${describePlace(timeline)}`;
@@ -215,7 +215,7 @@
 	return notGranted === undefined ? '' : `; ${notGranted.fields.answer === false ? 'the fleet had no retry left' : `deciding node ${findText(notGranted, 'node')} did not answer for a retry`}`;
 }
 
-/** Where it was placed last, and what befell the server. */
+/** Describes the last placement and the later state of its server. */
 function describePlace(timeline: RequestTimeline): string {
 	const placed = timeline.lines.findLast(line => line.event === 'placed');
 	if (placed === undefined) {
--- a/src/logs/format-time.ts
+++ b/src/logs/format-time.ts
@@ -1,4 +1,4 @@
-/** Formats a duration in milliseconds for people. */
+/** Formats a duration in milliseconds, such as `1,200 ms`. */
 export function formatTime(time: number | undefined): string {
 	if (time === undefined) {
 		return 'an unknown time';
--- a/src/logs/index.ts
+++ b/src/logs/index.ts
@@ -1,4 +1,4 @@
-/** What the logs of gateways tell: one request explained, a day summed up. */
+/** Analysis of gateway logs: explains single requests and summarises days. */
 export * from './day-summary.js';
 export * from './ended-call.js';
 export * from './explain-request.js';
--- a/src/logs/log-line.ts
+++ b/src/logs/log-line.ts
@@ -1,22 +1,22 @@
-/** One line of a gateway's log, as operators hold it: JSON, alone or after a time in seconds and the name of who wrote it. */
+/** Parses lines of a gateway's log: JSON, with an optional prefix of a time in seconds and the name of the writer. */
 
-/** A line that tells an event. */
+/** A log line with an event. */
 export type LogLine = {
 	event: string;
-	/** Milliseconds: of wall time, or since the start of the collector that put its own time before the line. */
+	/** Milliseconds of wall time, or since the start of the log collector that added its time as a prefix. */
 	at: number;
-	/** Wall time of the node that wrote it, in milliseconds; undefined when the line tells none. */
+	/** Wall time of the node that wrote the line, in milliseconds; undefined if the line has none. */
 	writtenAt?: number;
-	/** Who wrote it: the name before the line, or the file's. */
+	/** Name of the writer, from the prefix or else from the file name. */
 	writer: string;
 	/** All fields of the line. */
 	fields: Readonly<Record<string, unknown>>;
 };
 
-/** A time in seconds and a name, before the line itself. */
+/** Matches a line with a prefix of a time in seconds and a name. */
 const prefixPattern = /^\s*(?<seconds>-?\d+(?:\.\d+)?)\s+(?<writer>\S+)\s+(?<json>{.*)$/;
 
-/** Reads one line; undefined when it tells no event, such as one that was cut off. */
+/** Parses one line; undefined if it has no event, for example because it is truncated. */
 export function parseLogLine(text: string, writer: string): LogLine | undefined {
 	const {seconds, writer: named, json} = prefixPattern.exec(text)?.groups ?? {};
 	const fields = parseObject(json ?? text);
@@ -35,19 +35,19 @@
 	};
 }
 
-/** A field that is a number. */
+/** Returns a field if it is a number. */
 export function findNumber({fields}: LogLine, name: string): number | undefined {
 	const value = fields[name];
 	return typeof value === 'number' ? value : undefined;
 }
 
-/** A field that is a text. */
+/** Returns a field if it is a string. */
 export function findText({fields}: LogLine, name: string): string | undefined {
 	const value = fields[name];
 	return typeof value === 'string' ? value : undefined;
 }
 
-/** A field that is a list of texts; empty when there is none. */
+/** Returns the strings of an array field; empty if there is none. */
 export function listTexts({fields}: LogLine, name: string): string[] {
 	const value = fields[name];
 	return Array.isArray(value) ? value.filter(item => typeof item === 'string') : [];
--- a/src/logs/page/chart.ts
+++ b/src/logs/page/chart.ts
@@ -1,27 +1,27 @@
-/** Charts as SVG, written plainly: the page works in one file, without a network. Pure. */
+/** Renders charts as SVG without a library, so that the page is one file that works offline. */
 import {encodeHtml, formatCount} from './html.js';
 import type {Scale} from './scale.js';
 
-/** Size of a chart, and the room for its marks, in pixels. */
+/** Size and margins of a chart, in pixels. */
 const size = {
 	width: 960, height: 300, left: 64, right: 36, top: 12, bottom: 40,
 };
 
-/** A kind of thing in a chart. */
+/** A data series of a chart. */
 export type Series = {name: string; color: string};
 
-/** A point; `title` is shown when the pointer rests on it. */
+/** A data point; `title` is its tooltip. */
 export type ChartPoint = {x: number; y: number; series: number; title: string};
 
-/** A line across, such as an objective. */
+/** A horizontal line, such as an objective. */
 export type ChartLine = {y: number; name: string};
 
-/** What every chart has. */
+/** Title, axes and series of a chart. */
 export type ChartFrame = {
 	title: string; xName: string; yName: string; x: Scale; y: Scale; series: Series[];
 };
 
-/** Draws points. */
+/** Renders a scatter chart. */
 export function drawPoints(frame: ChartFrame, points: ChartPoint[], lines: ChartLine[] = []): string {
 	const marks = points.map(point => {
 		const [x, y] = [placeX(frame, point.x), placeY(frame, point.y)];
@@ -30,7 +30,7 @@
 	return drawFrame(frame, [...lines.map(line => drawLine(frame, line)), ...marks]);
 }
 
-/** Draws bars on each other: `heights` by series for each bar. */
+/** Renders a stacked bar chart; `heights` has one entry for each series. */
 export function drawBars(frame: ChartFrame, barWidth: number, bars: Array<{x: number; heights: number[]}>): string {
 	const marks = bars.flatMap(({x, heights}) => {
 		let base = 0;
--- a/src/logs/page/day-charts.ts
+++ b/src/logs/page/day-charts.ts
@@ -1,4 +1,4 @@
-/** The charts of a day. Pure. */
+/** Charts of a day summary. */
 import {verdicts, type Verdict} from '../ended-call.js';
 import type {DayDecision, DaySummary} from '../day-summary.js';
 import {
@@ -8,16 +8,16 @@
 
 type DayCall = DaySummary['calls'][number];
 
-/** Points of a chart at most: the bad ones all come first, of the good ones as many as fit are drawn, evenly. */
+/** Maximum number of points in a chart; calls that missed an objective have priority. */
 const maxPoints = 4000;
 
-/** Bars of a chart at most. */
+/** Maximum number of bars in a chart. */
 const maxBars = 120;
 
-/** Deciding nodes that are told apart. */
+/** Maximum number of schedulers with a series of their own. */
 const maxNodes = 8;
 
-/** Objectives that are drawn as lines. */
+/** Maximum number of objectives drawn as lines. */
 const maxObjectiveLines = 6;
 
 const colors: Record<Verdict, string> = {
@@ -38,7 +38,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** First event against length of prompt, with objectives. */
+/** Draws the time to the first event over the prompt length, with objectives. */
 export function drawFirstEvents({calls}: DaySummary): string {
 	const shown = calls.filter(call => call.promptTokens > 0 && call.firstAfter !== undefined);
 	const frame = {
@@ -52,7 +52,7 @@
 	return drawPoints(frame, pickPoints(shown).map(call => buildPoint(call, call.promptTokens, call.firstAfter!)), listLines(shown, call => call.objective));
 }
 
-/** Longest pauses over time, with aims. */
+/** Draws the longest pauses over time, with objectives. */
 export function drawPauses({calls}: DaySummary): string {
 	const shown = calls.filter(call => call.pauseAim !== undefined && call.longestPause !== undefined && call.firstAfter !== undefined);
 	const frame = {
@@ -66,7 +66,7 @@
 	return drawPoints(frame, pickPoints(shown).map(call => buildPoint(call, call.arrivedAt / millisecondsPerSecond, call.longestPause!)), listLines(shown, call => call.pauseAim));
 }
 
-/** How long requests had waited when they got a place or were refused. */
+/** Draws how long requests had waited when they were placed or refused. */
 export function drawWaits({calls, decisions}: DaySummary): string {
 	const series = [{name: 'placed', color: colors['in aim']}, {name: 'refused', color: colors.refused}];
 	const shown = decisions.filter(({event, waited}) => (event === 'placed' || event === 'refused') && waited > 0);
@@ -83,13 +83,13 @@
 	})));
 }
 
-/** How calls ended, by when they came. */
+/** Draws the outcomes of calls over their arrival time. */
 export function drawOutcomes({calls}: DaySummary, shownVerdicts: Verdict[], title: string): string {
 	const shown = calls.filter(call => shownVerdicts.includes(call.verdict));
 	return drawCounts(calls, title, shownVerdicts.map(name => ({name, color: colors[name]})), shown.map(call => ({at: call.arrivedAt, series: shownVerdicts.indexOf(call.verdict)})));
 }
 
-/** Decisions by the node that made them, over time. */
+/** Draws scheduling decisions over time, by node. */
 export function drawSchedulers({calls, decisions}: DaySummary): string {
 	const counts = countNodes(decisions);
 	const named = [...counts.entries()].sort((left, right) => right[1] - left[1]).slice(0, maxNodes).map(([node]) => node);
@@ -133,7 +133,7 @@
 	};
 }
 
-/** All bad calls, and as many good ones as there is room for, evenly; the bad ones lie on top. */
+/** Picks the calls that missed an objective and an even sample of the others, which are drawn first. */
 function pickPoints(calls: DayCall[]): DayCall[] {
 	const bad = calls.filter(call => call.verdict !== 'in aim').slice(0, maxPoints);
 	const good = calls.filter(call => call.verdict === 'in aim');
@@ -161,7 +161,7 @@
 	return [Math.floor(findMin(calls.map(call => call.arrivedAt)) / millisecondsPerSecond), Math.ceil(findMax(calls.map(call => call.arrivedAt + call.took)) / millisecondsPerSecond)];
 }
 
-/** Lists are too long to be spread into arguments. */
+/** Avoids `Math.min(...values)`, since a day has more values than a call can take as arguments. */
 function findMin(values: number[]): number {
 	let min = values[0] ?? 1;
 	for (const value of values) {
--- a/src/logs/page/report-page.ts
+++ b/src/logs/page/report-page.ts
@@ -1,4 +1,4 @@
-/** A day as one page that works offline. Pure. */
+/** Renders a day summary as one HTML page that works offline. */
 import {verdicts, type Verdict} from '../ended-call.js';
 import {listFacts} from '../explain-request.js';
 import type {DaySummary, WorstCall} from '../day-summary.js';
@@ -19,14 +19,14 @@
 details{margin:.35em 0}code,pre{font:12px/1.4 ui-monospace,monospace}pre{overflow-x:auto;background:#f6f6f6;padding:.6em}
 `;
 
-/** Widest bar of a table, in pixels. */
+/** Maximum width of a bar in a table, in pixels. */
 const maxBarWidth = 320;
 
-/** Verdicts that are no answer in aim and no answer at all, in the order of the charts. */
+/** Verdicts of complete responses that missed an objective, and of calls without a complete response, in chart order. */
 const lateVerdicts: Verdict[] = ['late first', 'long pause', 'late and long pause'];
 const lostVerdicts: Verdict[] = ['refused', 'broken off', 'failed', 'left by caller'];
 
-/** Formats a day as HTML. */
+/** Formats a day summary as an HTML page. */
 export function formatReport(day: DaySummary, files: string[]): string {
 	const sections = [
 		formatHead(day, files),
--- a/src/logs/read-logs.ts
+++ b/src/logs/read-logs.ts
@@ -1,4 +1,4 @@
-/** Reads the logs of many nodes, a line at a time: the logs of a day are larger than the memory of those who read them. */
+/** Streams the log files of many nodes line by line, since a day of logs may not fit in memory. */
 import {createReadStream} from 'node:fs';
 import {parse} from 'node:path';
 import {createInterface} from 'node:readline';
@@ -6,10 +6,10 @@
 import {readErrorMessage} from '../common/index.js';
 import {parseLogLine, type LogLine} from './log-line.js';
 
-/** What was read. */
+/** Numbers of files, lines and events read. */
 export type ReadCounts = {files: number; lines: number; events: number};
 
-/** Passes each event of the files on; says which file cannot be read, and the mend. */
+/** Passes each event of the files to `accept`; returns a message if a file cannot be read. */
 export async function readLogs(files: string[], accept: (line: LogLine) => void): Promise<Either<string, ReadCounts>> {
 	const counts = {files: files.length, lines: 0, events: 0};
 	for (const file of files) {
--- a/src/logs/request-timeline.ts
+++ b/src/logs/request-timeline.ts
@@ -1,41 +1,41 @@
-/** Gathers what the logs of all nodes say of one request, and of the servers and nodes it met. */
+/** Collects the log lines of all nodes about one request and about the servers and nodes involved. */
 import {
 	findNumber, findText, listTexts, type LogLine,
 } from './log-line.js';
 import {findEndedCall, type EndedCall} from './ended-call.js';
 import {WriterClocks} from './writer-clocks.js';
 
-/** Events that change what a server or a node is: they explain what befell a request there. */
+/** Events that change the state of a server or node, which may explain the outcome of a request. */
 const fleetEvents = new Set([
 	'server_gone', 'server_doubtful', 'server_leaving', 'server_overwritten', 'server_restarted', 'node_lost', 'own_gap', 'decider_changed', 'stopping', 'stopped', 'started',
 ]);
 
-/** Events that tell of the end of a server's life, or of its work. */
+/** Events after which a server no longer accepts work or has restarted. */
 const serverEvents = new Set(['server_gone', 'server_doubtful', 'server_leaving', 'server_overwritten', 'server_restarted']);
 
-/** Whether a line tells of a prompt that several servers read together. */
+/** Whether a line places a prefill that is distributed over several servers. */
 function isDistributedPrefill(line: LogLine): boolean {
 	return line.event === 'placed' && listTexts(line, 'readers').length > 0;
 }
 
-/** Time around a request in which what befell its servers belongs to it, in milliseconds: a death is noticed by silence, and entries lapse after about two seconds. */
+/** Time before and after a request within which events of its servers are included, in milliseconds: a crash is only detected after a time without messages, and entries expire after about two seconds. */
 const relatedMargin = 2000;
 
-/** Lines about the fleet that are kept at most: a large fleet's worst day has some ten thousand. */
+/** Maximum number of lines kept about servers and nodes; the worst day of a large fleet has about ten thousand. */
 const maxFleetLines = 200_000;
 
-/** What is known of one request. */
+/** Log lines and outcome of one request. */
 export type RequestTimeline = {
 	request: string;
-	/** Its lines of all nodes, in order. */
+	/** Lines of all nodes about the request, in order. */
 	lines: LogLine[];
-	/** Lines about the servers and nodes that it met, each told once, in order. */
+	/** Lines about the servers and nodes involved, in order and without duplicates. */
 	related: LogLine[];
-	/** How it ended; undefined when no line tells. */
+	/** Outcome; undefined if no line states it. */
 	ended: EndedCall | undefined;
 };
 
-/** Picks one request out of the lines of a day. */
+/** Collects the timeline of one request from the lines of a day. */
 export class TimelineCollector {
 	readonly #request: string;
 	readonly #lines: LogLine[] = [];
@@ -46,7 +46,7 @@
 		this.#request = request;
 	}
 
-	/** Takes a line of any node. */
+	/** Adds a line of any node. */
 	add(line: LogLine): void {
 		this.#clocks.add(line);
 		if (findText(line, 'request') === this.#request) {
@@ -56,7 +56,7 @@
 		}
 	}
 
-	/** The timeline so far; undefined when nothing was said of the request. */
+	/** Returns the timeline; undefined if no line is about the request. */
 	finish(): RequestTimeline | undefined {
 		return this.#lines.length === 0 ? undefined : buildTimeline(this.#request, this.#sort(this.#lines), this.#sort(this.#fleet));
 	}
@@ -66,12 +66,12 @@
 	}
 }
 
-/** Whether a line tells what a server or a node has become, or what several servers read. */
+/** Whether a line is about the state of a server or node, or places a distributed prefill. */
 export function isFleetLine(line: LogLine): boolean {
 	return fleetEvents.has(line.event) || isDistributedPrefill(line);
 }
 
-/** Puts together what is known of a request from its lines and those about the fleet, both in order. */
+/** Builds the timeline of a request from its lines and those about the fleet, both in order. */
 export function buildTimeline(request: string, lines: LogLine[], fleet: LogLine[]): RequestTimeline {
 	const ended = lines.map(line => findEndedCall(line)).findLast(end => end !== undefined);
 	return {
@@ -84,7 +84,7 @@
 	const nodes = new Set(lines.flatMap(line => [line.writer, findText(line, 'node') ?? line.writer]));
 	const services = new Set(lines.map(line => findText(line, 'service')));
 	const from = Math.min(lines[0].at, ...ended === undefined ? [] : [ended.at - ended.took]) - relatedMargin;
-	// A request without an end may have gone on for as long as its caller waits.
+	// A request without a logged end may have run until its caller's timeout.
 	const patience = ended === undefined ? Math.max(...lines.map(line => findNumber(line, 'patience') ?? 0)) : 0;
 	const until = lines.at(-1)!.at + patience + relatedMargin;
 	const seen = new Set<string>();
@@ -95,21 +95,21 @@
 			return false;
 		}
 
-		// Every node that hears of it writes it down; the first one is enough.
+		// Every node logs the event; only the first line is kept.
 		seen.add(key);
 		return true;
 	});
 }
 
-/** Sorts lines by their time; those of one time stay as they were written. */
+/** Sorts lines by time; lines with equal times keep their order. */
 export function sortByTime(lines: LogLine[]): LogLine[] {
 	return [...lines].sort((left, right) => left.at - right.at);
 }
 
-/** What a request met. */
+/** Servers, nodes and services involved in a request. */
 type RelatedNames = {servers: ReadonlySet<string | undefined>; nodes: ReadonlySet<string>; services: ReadonlySet<string | undefined>};
 
-/** What of the request's a line is about; undefined when it is about none of it. */
+/** Returns the server, node or request that a fleet line is about; undefined if it is not related. */
 function findSubject(line: LogLine, {servers, nodes, services}: RelatedNames): string | undefined {
 	if (isDistributedPrefill(line)) {
 		return listTexts(line, 'readers').some(server => servers.has(server)) ? findText(line, 'request') : undefined;
--- a/src/logs/writer-clocks.ts
+++ b/src/logs/writer-clocks.ts
@@ -1,21 +1,21 @@
-/** The clocks of those who write lines, against that of the collector that put its own time before them. */
+/** Estimates the offsets between the clocks of the nodes and that of the log collector. */
 import type {LogLine} from './log-line.js';
 
-/** A time that differs by more from that of the collector is that of a clock that was set meanwhile, in milliseconds: lines are gathered for 200 at most. */
+/** Maximum plausible delay between writing and collecting a line, in milliseconds. Nodes buffer lines for at most 200 ms; a larger difference means that the clock was set. */
 const maxBufferTime = 1000;
 
-/** Estimates when lines were written: a node gathers its lines before it hands them on, which would put the decisions of two nodes in a wrong order. */
+/** Estimates when lines were written. Nodes buffer their lines, so the collector's times would put decisions of two nodes in the wrong order. */
 export class WriterClocks {
 	readonly #offsets = new Map<string, number>();
 
-	/** Takes a line; the one that was handed on soonest tells how the clocks differ. */
+	/** Adds a line; the line with the smallest delay determines the clock offset. */
 	add({writer, at, writtenAt}: LogLine): void {
 		if (writtenAt !== undefined) {
 			this.#offsets.set(writer, Math.min(at - writtenAt, this.#offsets.get(writer) ?? Infinity));
 		}
 	}
 
-	/** When a line was written, by the collector's clock; by the node's where there was no collector. */
+	/** Estimates when a line was written, by the collector's clock, or by the node's if there is no collector. */
 	estimateTime({writer, at, writtenAt}: LogLine): number {
 		const offset = this.#offsets.get(writer);
 		if (writtenAt === undefined || offset === undefined) {
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -30,7 +30,7 @@
 	await rm(folder, {recursive: true});
 });
 
-/** Writes the logs of all nodes to files, when all of them tell the end of so many calls. */
+/** Waits until the logs contain the end of `calls` calls, then writes them to one file for each node. */
 async function writeLogs(calls: number): Promise<string[]> {
 	await waitUntil(() => logs.flatMap(log => [...log.listEvents('call_ended'), ...log.listEvents('call_refused')]).length >= calls);
 	return Promise.all(logs.map(async (log, index) => writeLog(`edge-${index}.log`, log.text)));
@@ -53,7 +53,7 @@
 	return status;
 }
 
-test('the decisions of a request are told in order across the node that took it and the one that decided', async () => {
+test('the steps of a request are ordered across the node that accepted it and the one that scheduled it', async () => {
 	await fleet.start({nodes: 2, runners: [{service: 'model', behaviour: streamEvents(2)}]});
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.listReadyNodes().length === 2));
 	await call('/stream/', 'ask-0', 0);
@@ -68,11 +68,11 @@
 		expect(cause).toMatch(/^It was served as aimed at: the first event after \d+ ms of 300 ms, longest pause of \d+ ms where 250 ms is aimed at\.$/);
 	}
 
-	// One node decides for both.
+	// One node schedules both requests.
 	expect(new Set(explanations.map(({steps}) => steps.find(step => step.event === 'placed')?.node)).size).toBe(1);
 });
 
-test('a retry is told with the server that was left and why', async () => {
+test('a retry states the previous server and the reason', async () => {
 	await fleet.start({runners: [{service: 'model', behaviour: streamEvents(4, 2)}, {service: 'model', behaviour: streamEvents(4, 2)}]});
 	await call('/stream/', 'broken');
 	const files = await writeLogs(1);
@@ -82,7 +82,7 @@
 	expect(Object.keys(retry?.facts ?? {})[0]).toBe('reason');
 });
 
-test('a refusal is explained by what every server said', async () => {
+test('a refusal is explained by the responses of the servers', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: decline}]});
 	expect(await call('/once/', 'declined')).toBe(503);
 	const {cause, verdict} = await explain('declined', await writeLogs(1));
@@ -91,15 +91,15 @@
 		+ 'before, it was sent away from a server since status 503 (i-0).');
 });
 
-test('a request without a route is explained by the message of its line', async () => {
+test('a request without a route is explained by its log message', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await call('/nowhere/', 'lost-way');
 	const {cause} = await explain('lost-way', await writeLogs(1));
 	expect(cause).toMatch(/^It was refused with 404 \(unknown_path\), and ran nowhere: no route for host shop\.example begins this path; the node had version 1 of the configuration, and the store was last heard by a node \d+ ms before\.$/);
 });
 
-// A caller that had left after two seconds of silence was told of with the longest pause between two events, 77 ms.
-test('a request whose caller left in a silence is told how long that was', async () => {
+// Guards against reporting the longest pause between two events (77 ms) instead of the two seconds of silence in which the caller left.
+test('a disconnect during a silence states how long the silence was', async () => {
 	const behaviour: ServerBehaviour = (request, response) => {
 		response.writeHead(200, {...createAnswerHeaders(request), 'content-type': 'text/event-stream'});
 		response.write(formatEvent(1));
@@ -114,7 +114,7 @@
 	expect(Number(silence)).toBeLessThan(700);
 });
 
-test('a request whose caller left before its first event is told where it was placed', async () => {
+test('a disconnect before the first event states where the request was placed', async () => {
 	await fleet.start({
 		runners: [{
 			service: 'app',
@@ -129,7 +129,7 @@
 	expect(cause).toMatch(/^Its caller left after \d+ ms, before a first event: it was placed at i-0 after 0 ms, its first event expected 0 ms later\.$/);
 });
 
-test('without --json it prints the cause first, then a line each step', async () => {
+test('without --json it prints the cause, then one line for each step', async () => {
 	await fleet.start({runners: [{service: 'app', behaviour: createTextAnswer('yes')}]});
 	await call('/once/', 'plain');
 	const {code, out} = await runCommand('explain', 'plain', '--logs', ...await writeLogs(1));
@@ -148,7 +148,7 @@
 	expectedFirst: 100, firstAfter: 400, objective: 300, longestPause: 20, pauseAim: 250, took: 900,
 };
 
-/** Lines as a collector gives them: its seconds, the node, the line. */
+/** Writes a log with the prefixes of a log collector: seconds and node. */
 async function collect(...lines: Array<[number, string, Record<string, unknown>]>): Promise<string[]> {
 	return [await writeLog('day.log', lines.map(([seconds, node, fields]) => `${seconds} ${node} ${JSON.stringify(fields)}`).join('\n'))];
 }
@@ -162,17 +162,17 @@
 		}], [1, 'b', {...placed, waited: 290}], [2, 'a', ended]],
 		'it waited 290 ms for its place, since no memory was free',
 	],
-	['a place that was known to be late', [[1, 'b', placed], [2, 'a', {...ended, expectedFirst: 390}]], 'it was placed though its first event was expected after 390 ms: no better place was free'],
-	['earlier tries of the caller', [[1, 'b', {...placed, objective: 120}], [2, 'a', ended]], 'its caller had tried for 180 ms before, which left less time'],
+	['a placement predicted to be late', [[1, 'b', placed], [2, 'a', {...ended, expectedFirst: 390}]], 'it was placed though its first event was expected after 390 ms: no better place was free'],
+	['earlier attempts of the caller', [[1, 'b', {...placed, objective: 120}], [2, 'a', ended]], 'its caller had tried for 180 ms before, which left less time'],
 	[
-		'a decider that was silent',
+		'an unresponsive scheduler',
 		[[0.9, 'a', {
 			event: 'decider_passed_over', request: 'r1', node: 'b', reason: 'no answer within 90 ms',
 		}], [1, 'a', placed], [2, 'a', ended]],
 		'deciding node b was passed over (no answer within 90 ms)',
 	],
 	[
-		'a server that started again',
+		'a server that restarted',
 		[
 			[1, 'b', placed],
 			[1.5, 'c', {event: 'server_restarted', server: 'i-1+2', before: 'i-1'}],
@@ -183,17 +183,17 @@
 		],
 		'it was tried again once, first since the server has started again (i-1; it started again)',
 	],
-] satisfies Array<[string, Array<[number, string, Record<string, unknown>]>, string]>)('a late first event is blamed on %s', async (_name, lines, cause) => {
+] satisfies Array<[string, Array<[number, string, Record<string, unknown>]>, string]>)('a late first event is attributed to %s', async (_name, lines, cause) => {
 	const explained = await explain('r1', await collect(...lines));
 	expect(explained.cause).toBe(`It was served late, the first event after 400 ms of 300 ms: ${cause}.`);
 });
 
 test.each([
 	['a long pause', {...ended, firstAfter: 200, longestPause: 900}, 'It was served with a longest pause of 900 ms where 250 ms is aimed at: the pause was planned for request r2, of 300000 tokens, which server i-1 read with 3 others.'],
-	['a caller that left', {
+	['a disconnect', {
 		...ended, outcome: 'caller_gone', status: 0, firstAfter: 200, longestPause: 40, sinceLastEvent: 850,
 	}, 'Its caller left after 900 ms, after a first event at 200 ms, in a silence of 850 ms; the pause was planned for request r2, of 300000 tokens, which server i-1 read with 3 others.'],
-] satisfies Array<[string, Record<string, unknown>, string]>)('%s beside a planned read names the request that was read', async (_name, end, cause) => {
+] satisfies Array<[string, Record<string, unknown>, string]>)('%s during a planned prefill names the prefilled request', async (_name, end, cause) => {
 	const read = {
 		...placed, request: 'r2', server: 'i-4', promptTokens: 300_000, readers: ['i-4', 'i-1', 'i-2', 'i-3'], startIn: 0, expectedFirst: 1000, plannedPause: 880,
 	};
@@ -203,7 +203,7 @@
 	expect(explained.cause).toBe(cause);
 });
 
-test('a spent budget of retries is named', async () => {
+test('an exhausted retry budget is reported', async () => {
 	const files = await collect(
 		[1, 'b', placed],
 		[1.2, 'b', {
@@ -217,7 +217,7 @@
 	expect(cause).toBe('It failed with 502 (backend_unconfirmed) after one try: a backend server may have run the request; the fleet\'s retry budget was spent (8 retries of 40 requests).');
 });
 
-test('a request whose time passed while it ran is told where it was placed', async () => {
+test('a request that timed out while running states where it was placed', async () => {
 	const files = await collect([1, 'b', placed], [2, 'a', {
 		...ended, outcome: 'bound_passed_running', status: 504, reason: 'the time for this request passed while a backend server ran it', firstAfter: undefined,
 	}]);
@@ -226,14 +226,14 @@
 		+ 'it was placed at i-1 after 0 ms, its first event expected 100 ms later.');
 });
 
-test('a request without an end names the node that took it, and whether that one ended', async () => {
+test('a request without a logged end names its node and whether that node ended', async () => {
 	const open = await explain('r1', await collect([1, 'b', placed]));
 	expect(open.cause).toBe('No line tells its end: it goes on, or the log of node a, which took it, is not whole among the files; give that one too.');
 	const cut = await explain('r1', await collect([1, 'b', placed], [2, 'b', {event: 'node_lost', node: 'a'}]));
 	expect(cut.cause).toBe('No line tells its end: node a, which took it, ended meanwhile (node_lost), and what it carried out was cut.');
 });
 
-test('lines are put in order by the time of their nodes, since they are gathered before they are collected, but not across wrong clocks', async () => {
+test('lines are sorted by the corrected times of their nodes, as nodes buffer them, unless a clock was set', async () => {
 	const wall = (milliseconds: number) => new Date(Date.UTC(2030, 0, 1) + milliseconds).toISOString();
 	const files = await collect(
 		[0.1, 'a', {event: 'started', time: wall(100)}],
@@ -250,14 +250,14 @@
 	expect(own.map(step => [step.after, step.node, step.event])).toEqual([[0, 'b', 'placed'], [140, 'a', 'retry'], [170, 'b', 'placed'], [7990, 'b', 'retry_refused']]);
 });
 
-test('lines that are cut off or no JSON are passed over', async () => {
+test('truncated lines and lines that are not JSON are ignored', async () => {
 	const [file] = await collect([1, 'b', placed], [2, 'a', ended]);
 	const other = await writeLog('other.log', '{"event":"placed","request":"r1","no\nplain words\n7 a {"event":7}\n\n');
 	const {steps} = await explain('r1', [other, file]);
 	expect(steps.map(step => [step.after, step.node, step.event])).toEqual([[0, 'b', 'placed'], [1000, 'a', 'call_ended']]);
 });
 
-test('a request that no line is about ends with 1 and says what to give', async () => {
+test('an unknown request exits with 1 and says which logs are needed', async () => {
 	const files = await collect([1, 'b', placed]);
 	const {code, out, error} = await runCommand('explain', 'r2', '--logs', ...files);
 	expect([code, out]).toEqual([1, '']);
@@ -265,7 +265,7 @@
 		+ 'give the caller\'s own id of that attempt, and the logs of all nodes at that time, with log.level "info" or "debug"\n');
 });
 
-test('a file that cannot be read ends with 2 and names it; so does a command without logs', async () => {
+test('an unreadable file exits with 2 and is named; a missing --logs option exits with 2', async () => {
 	const {code, error} = await runCommand('explain', 'r1', '--logs', join(folder, 'none.log'));
 	expect(code).toBe(2);
 	expect(error).toMatch(/none\.log: give the path of a log file that can be read: .*ENOENT/);
--- a/test/operations-page.test.ts
+++ b/test/operations-page.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from '@jest/globals';
 import {describeRequest, parseLogLine, TimelineCollector} from '../src/logs/index.js';
 
-test('what the operators\' page quotes of explain is what it says of the lines that stand there', async () => {
+test('the causes quoted in docs/OPERATIONS.md match what explain returns for the quoted log lines', async () => {
 	const page = await readFile('docs/OPERATIONS.md', 'utf8');
 	const quoted = [...page.matchAll(/```json\n(?<lines>[^`]*)```\n\n`explain`: (?<cause>.*)\n/g)];
 	expect(quoted).toHaveLength(3);
--- a/test/report.test.ts
+++ b/test/report.test.ts
@@ -29,7 +29,7 @@
 	decidedBy: 'planner', expectedFirst: 100, firstAfter: 120, objective: 300, longestPause: 20, pauseAim: 250, took: 1000,
 };
 
-/** Sums up lines as a collector gives them: its seconds, the node, the line. */
+/** Summarises lines with the prefixes of a log collector: seconds and node. */
 function summarise(...lines: Array<[number, string, Record<string, unknown>]>): DaySummary {
 	const collector = new DayCollector();
 	for (const [seconds, node, fields] of lines) {
@@ -45,7 +45,7 @@
 	return file;
 }
 
-/** Tags that are opened and never closed, or the other way round. */
+/** Lists tags that are opened but not closed, or closed but not opened. */
 function listUnbalanced(page: string): string[] {
 	const open: string[] = [];
 	for (const [, slash, tag, self] of page.matchAll(/<(?<slash>\/?)(?<tag>[a-z]\w*)[^>]*?(?<self>\/?)>/g)) {
@@ -59,7 +59,7 @@
 	return open;
 }
 
-test('a page on the logs of real nodes has every part, works offline in one file, and is well formed', async () => {
+test('the report on logs of real nodes has every section, works offline as one file, and is well-formed', async () => {
 	const fleet = new GatewayFleet();
 	const log = new LogCapture();
 	fleet.loggers.push(createLogger('debug', log));
@@ -102,7 +102,7 @@
 	expect(listUnbalanced(html)).toEqual([]);
 });
 
-test('worth is that of the planner: a late answer keeps a quarter, what is not served loses all, what has no route is owed nothing', () => {
+test('value is counted as in the planner: a late response keeps a quarter, a failed one loses all, an unroutable one is not counted', () => {
 	const {valueShare, lengths, losses} = summarise(
 		[2, 'a', {...ended, request: 'r1'}],
 		[3, 'a', {...ended, request: 'r2', firstAfter: 400}],
@@ -114,7 +114,7 @@
 			event: 'call_refused', request: 'r5', kind: 'unknown_path', status: 404, msg: 'no route',
 		}],
 	);
-	// Four calls of 10,000 tokens of worth: 1, 0.25, 0.25 and 0 of it.
+	// Four calls with a value of 10,000 tokens each, of which they deliver 1, 0.25, 0.25 and 0.
 	expect(valueShare).toBeCloseTo(1.5 / 4);
 	expect(lengths).toHaveLength(1);
 	expect(lengths[0]).toMatchObject({
@@ -127,17 +127,17 @@
 });
 
 test.each([
-	['a plain call', 0, 'plain'],
+	['a call without a prompt', 0, 'plain'],
 	['the shortest prompt', 1, 'under 15,000 tokens'],
 	['one below a bound', 14_999, 'under 15,000 tokens'],
 	['one at a bound', 15_000, 'under 80,000'],
 	['one just below the last bound', 79_999, 'under 80,000'],
 	['one at the last bound', 80_000, '80,000 and more'],
-])('%s is summed with its length', (_name, promptTokens, length) => {
+])('%s is counted in its length class', (_name, promptTokens, length) => {
 	expect(summarise([2, 'a', {...ended, request: 'r1', promptTokens}]).lengths.map(row => row.length)).toEqual([length]);
 });
 
-test('the error of predictions leaves out waiting, and calls that were sent more than once', () => {
+test('the prediction error excludes waiting time and calls that were sent more than once', () => {
 	const {lengths} = summarise(
 		[1, 'b', {event: 'placed', request: 'r1', waited: 50}],
 		[2, 'a', {...ended, request: 'r1', firstAfter: 170}],
@@ -149,7 +149,7 @@
 	expect(lengths[0].predictionError).toEqual({p50: 30, p90: 30, count: 2});
 });
 
-test('the calls that lost most come first, each with its cause and decisions, whichever file holds them', () => {
+test('the calls with the largest loss come first, each with its cause and the decisions of all nodes', () => {
 	const {worstCalls} = summarise(
 		[2, 'a', {...ended, request: 'small', firstAfter: 400}],
 		[3, 'a', {
@@ -167,7 +167,7 @@
 	expect(worstCalls[0].steps.map(step => step.event)).toEqual(['waits', 'placed', 'call_ended']);
 });
 
-test('a change of the deciding node is one row with how many nodes say so', () => {
+test('a change of the scheduler is one row with the number of nodes that reported it', () => {
 	const change = {event: 'decider_changed', service: 'model'};
 	const {schedulerChanges} = summarise([1, 'a', {...change, to: 'a'}], [1.1, 'b', {...change, to: 'a'}], [5, 'a', {...change, to: 'b'}], [6, 'a', {...ended, request: 'r1'}]);
 	expect(schedulerChanges).toEqual([
@@ -180,7 +180,7 @@
 	]);
 });
 
-test('names of others are written as text', async () => {
+test('request ids are escaped', async () => {
 	const log = await writeLog('day.log', `${JSON.stringify({...ended, request: '<b>"x"</b>', firstAfter: 999})}\n`);
 	const page = join(folder, 'day.html');
 	await runCommand('report', log, '--out', page);
@@ -189,7 +189,7 @@
 	expect(html).not.toContain('<b>');
 });
 
-test('logs without the end of a call end with 1, files that cannot be read or written with 2; the messages name the mend', async () => {
+test('logs without an ended call exit with 1, unreadable or unwritable files with 2, and the message names the fix', async () => {
 	const empty = await writeLog('empty.log', 'nothing\n');
 	const none = await runCommand('report', empty, '--out', join(folder, 'x.html'));
 	expect([none.code, none.error]).toEqual([1, 'no call ended in the file; give the logs of gateways, with log.level "info" or "debug"\n']);
@@ -204,7 +204,7 @@
 	expect(without.code).toBe(2);
 });
 
-test('a plain service\'s whole answers alone make a page too', async () => {
+test('a report on calls without prompts has no invalid numbers', async () => {
 	const fleet = new GatewayFleet();
 	const log = new LogCapture();
 	fleet.loggers.push(createLogger('info', log));
@@ -223,7 +223,7 @@
 	expect(html).not.toMatch(/NaN|Infinity|undefined/);
 });
 
-test('an axis of counts has whole marks, however few there are', () => {
+test('ticks on an axis of counts are whole numbers', () => {
 	expect(createLinearScale(0, 3, 1).ticks).toEqual([0, 1, 2, 3]);
 	expect(createLinearScale(0, 3).ticks).toEqual([0, 0.5, 1, 1.5, 2, 2.5, 3]);
 	expect(createLinearScale(0, 120, 1).ticks).toEqual([0, 20, 40, 60, 80, 100, 120]);
