--- a/src/cli/dev-command.ts
+++ b/src/cli/dev-command.ts
@@ -1,9 +1,10 @@
-/** `cresshook dev`: the whole path on one machine in one process. */
+/** `cresshook dev`: runs nodes and stand-ins for everything around them in one process. */
 import process from 'node:process';
 import type {Command} from 'commander';
 import {createLogger, systemClock, waitFor} from '../common/index.js';
 import {StandinFleet, standinFleet} from '../standin/index.js';
 
+/** Interval between readiness checks, in milliseconds. */
 const readyPollInterval = 20;
 
 /** Adds the command. */
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook explain`: one request's decisions across nodes, and its cause. */
+/** `cresshook explain`: prints the decisions of all nodes about one request, and the cause of its outcome. */
 import process from 'node:process';
 import type {Command} from 'commander';
 import {
--- a/src/cli/format-status.ts
+++ b/src/cli/format-status.ts
@@ -1,11 +1,11 @@
-/** How a node stands, as text. Pure. */
+/** Formats the status of a node as text. */
 import type {NodeStatus} from '../gateway/index.js';
 
 type ServiceWork = NodeStatus['services'][number];
 type ServerWork = ServiceWork['servers'][number];
 type NodeEntry = NodeStatus['node'];
 
-/** Formats a node's status. */
+/** Formats the status that a node returns. */
 export function formatStatus(status: NodeStatus): string {
 	const {
 		node, phase, isWatcher, isSourceOut, sources, calls, servers, services, nodes, omitted,
--- a/src/cli/gateway-command.ts
+++ b/src/cli/gateway-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook gateway`: runs a node of the routed path on the users' platform. */
+/** `cresshook gateway`: runs a gateway node on the platform. */
 import process from 'node:process';
 import type {Command} from 'commander';
 import {CallWire, PlatformSource} from '../../platform/index.js';
@@ -88,7 +88,7 @@
 
 async function stopGateway(gateway: Gateway): Promise<void> {
 	await gateway.stop();
-	process.exit(exitCodes.done); // eslint-disable-line unicorn/no-process-exit -- a slow reader of the logs must not hold up the end
+	process.exit(exitCodes.done); // eslint-disable-line unicorn/no-process-exit -- pending log output must not delay the exit
 }
 
 async function waitForEnd(gateway: Gateway, logger: Logger): Promise<void> {
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,4 +1,4 @@
-/** The command line. */
+/** Command line interface. */
 import {Command} from 'commander';
 import {addDevCommand} from './dev-command.js';
 import {exitCodes} from './exit-codes.js';
@@ -13,12 +13,12 @@
 import {addStandinCommand} from './standin-command.js';
 import {addStatusCommand} from './status-command.js';
 
-/** Builds the program with all its commands. */
+/** Creates the program with all its commands. */
 export function createProgram(): Command {
 	const program = new Command('cresshook')
 		.description('serving layer for language-model prompts of very unlike lengths')
 		.version('0.1.0')
-		// Before the commands are added, so that they inherit it.
+		// Set before the commands are added, since they inherit it.
 		.exitOverride();
 	addNodeCommand(program);
 	addGatewayCommand(program);
@@ -34,7 +34,7 @@
 	return program;
 }
 
-/** Exit code of an error that commander has thrown. */
+/** Returns the exit code for an error thrown by commander. */
 export function findExitCode(error: {exitCode: number}): number {
 	return error.exitCode === 0 ? exitCodes.done : exitCodes.usageError;
 }
--- a/src/cli/node-command.ts
+++ b/src/cli/node-command.ts
@@ -57,7 +57,7 @@
 	await waitForEnd(node, logger);
 }
 
-/** The first signal stops as planned, the second at once. */
+/** The first signal starts a graceful shutdown, the second stops at once. */
 function stopOnSignals(node: Node, logger: Logger): void {
 	let signals = 0;
 	const onSignal = async () => {
--- a/src/cli/policy-command.ts
+++ b/src/cli/policy-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook policy`: checks policies, and tries them on a trace. */
+/** `cresshook policy`: checks policies and simulates them on a trace. */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
 import type {Command} from 'commander';
@@ -26,7 +26,7 @@
 		.action(tryPolicy);
 }
 
-/** Reads a policy file: its programs, or lines that say what is wrong with it. */
+/** Reads a policy file; returns its programs, or one line for each problem. */
 async function readPolicy(file: string): Promise<Either<string[], PolicyTexts>> {
 	let texts: Record<string, unknown>;
 	try {
--- a/src/cli/rehearse-command.ts
+++ b/src/cli/rehearse-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook rehearse`: the routed path's planner over drawn days, for comparing ways of deciding. */
+/** `cresshook rehearse`: simulates the gateway's planner on randomly generated days, to compare scheduling policies. */
 import process from 'node:process';
 import {InvalidArgumentError, type Command} from 'commander';
 import {
@@ -37,7 +37,7 @@
 	process.stdout.write(options.json ? `${JSON.stringify(rows)}\n` : rows.map(row => formatRow(row)).join(''));
 }
 
-/** Means over the days of one workload. */
+/** Returns the means over the days of one workload. */
 function measureDays(workload: Workload, {seeds, from}: RehearseOptions): Omit<RoutedMeasures, 'flows'> {
 	const sums = {
 		brought: 0, worstWindows: 0, worstFlow: 0, weighted: 0,
--- a/src/cli/replay-command.ts
+++ b/src/cli/replay-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook trace` and `cresshook replay`: make traces, and run the real decisions over them. */
+/** `cresshook trace` and `cresshook replay`: generate traces and simulate the scheduler on them. */
 import {writeFile} from 'node:fs/promises';
 import process from 'node:process';
 import {InvalidArgumentError, Option, type Command} from 'commander';
@@ -46,7 +46,7 @@
 	}
 
 	process.stdout.write(options.json ? `${JSON.stringify(rows)}\n` : formatTable(rows));
-	// Outcomes are stated for the way that is in force.
+	// The expected outcomes apply to the production variant only.
 	const ours = rows.find(row => row.name === 'ours');
 	const shortfalls = ours === undefined ? [] : listShortfalls(ours.measures, await readOutcomes(path));
 	if (shortfalls.length > 0) {
--- a/src/cli/report-command.ts
+++ b/src/cli/report-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook report`: a day of logs as one page. */
+/** `cresshook report`: renders a day of logs as one HTML page. */
 import {writeFile} from 'node:fs/promises';
 import process from 'node:process';
 import type {Command} from 'commander';
--- a/src/cli/settings-command.ts
+++ b/src/cli/settings-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook settings`: checks settings files and hashes secrets for them. */
+/** `cresshook settings`: validates settings files and hashes secrets for them. */
 import process from 'node:process';
 import {text} from 'node:stream/consumers';
 import type {Command} from 'commander';
--- a/src/cli/standin-command.ts
+++ b/src/cli/standin-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook standin`: one stand-in as a process of its own, for trials with separate processes. */
+/** `cresshook standin`: runs one stand-in as a separate process, for tests with several processes. */
 import process from 'node:process';
 import {readFile} from 'node:fs/promises';
 import type {Command} from 'commander';
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -1,4 +1,4 @@
-/** `cresshook status`: how a running gateway node stands. */
+/** `cresshook status`: prints the status of a running gateway node. */
 import process from 'node:process';
 import type {Command} from 'commander';
 import {fetch} from 'undici';
@@ -7,10 +7,10 @@
 import {exitCodes} from './exit-codes.js';
 import {formatStatus} from './format-status.js';
 
-/** Time for an answer, in milliseconds. */
+/** Timeout of the status request, in milliseconds. */
 const answerTimeout = 3000;
 
-/** A numeric address or a name, and a port. */
+/** Matches an IP address or host name with a port. */
 const addressPattern = /^[\w.-]+:\d{1,5}$/;
 
 /** Adds the command. */
@@ -47,7 +47,7 @@
 	return text;
 }
 
-/** What stands behind a failed fetch says more than it does. */
+/** The cause of a failed fetch is more specific than its message. */
 function readReason(error: unknown): string {
 	const {cause} = error as {cause?: unknown};
 	return readErrorMessage(cause ?? error);
--- a/test/helpers/commands.ts
+++ b/test/helpers/commands.ts
@@ -1,12 +1,12 @@
-/** Commands of the program, run inside of a test as the command line runs them. */
+/** Runs commands of the program within a test process. */
 import process from 'node:process';
 import {CommanderError} from 'commander';
 import {createProgram, findExitCode} from '../../src/cli/index.js';
 
-/** What a command printed and ended with. */
+/** Output and exit code of a command. */
 export type CommandEnd = {code: number; out: string; error: string};
 
-/** Runs one command; the process' own exit code stays as it was. */
+/** Runs one command; restores the exit code of the test process afterwards. */
 export async function runCommand(...args: string[]): Promise<CommandEnd> {
 	const end: CommandEnd = {code: 0, out: '', error: ''};
 	const {exitCode} = process;
