--- a/src/cli/dev-command.ts
+++ b/src/cli/dev-command.ts
@@ -1,10 +1,11 @@
-/** `cresshook dev`: the whole path on one machine in one process. */
+/** `cresshook dev`: runs nodes and stand-ins for everything around them in one process. */
 import process from 'node:process';
 import type {Command} from 'commander';
 import {createLogger, systemClock, waitFor} from '../common/index.js';
 import {StandinFleet, standinFleet} from '../standin/index.js';
 
-const readyPoll = 20;
+/** Interval between readiness checks, in milliseconds. */
+const readyPollInterval = 20;
 
 /** Adds the command. */
 export function addDevCommand(program: Command): void {
@@ -26,7 +27,7 @@
 			});
 			await fleet.start();
 			while (!isServing(fleet)) {
-				await waitFor(systemClock, readyPoll);
+				await waitFor(systemClock, readyPollInterval);
 			}
 
 			printGuide(fleet);
--- a/src/logs/explain-request.ts
+++ b/src/logs/explain-request.ts
@@ -1,58 +1,58 @@
-/** Explains one request: its decisions in order, and its cause. Pure. */
+/** Explains the outcome of one request: its cause and the decisions in order. */
 import {findCause} from './find-cause.js';
 import {findText, type LogLine} from './log-line.js';
-import {sortByTime, type RequestStory} from './request-story.js';
+import {sortByTime, type RequestTimeline} from './request-timeline.js';
 
-/** One decision about the request, or what befell a server or node it met. */
+/** A decision about the request, or an event of a server or node involved in it. */
 export type ExplainedStep = {
 	/** Milliseconds since the request's first line. */
 	after: number;
 	node: string;
 	event: string;
-	/** Whether it is about a server or node, not the request itself. */
+	/** Whether the event concerns a server or node rather than the request itself. */
 	isAround: boolean;
 	facts: Record<string, unknown>;
 };
 
-/** A request explained. */
+/** Explanation of a request. */
 export type Explanation = {
 	request: string;
 	cause: string;
 	verdict: string;
-	/** Time of its first line as the log has it: wall time, or milliseconds of the collector's. */
+	/** Time of its first line: wall time, or milliseconds since the start of the log collector. */
 	startedAt: string | number;
 	steps: ExplainedStep[];
 };
 
-/** Facts that are told first, in this order; the rest of a line follows. */
-const firstFacts = ['outcome', 'status', 'kind', 'reason', 'server', 'after', 'waited', 'expectedFirst', 'firstAfter', 'objective', 'longestPause', 'pauseAim', 'took'];
+/** Fields shown first, in this order; the others follow. */
+const leadingFields = ['outcome', 'status', 'kind', 'reason', 'server', 'after', 'waited', 'expectedFirst', 'firstAfter', 'objective', 'longestPause', 'pauseAim', 'took'];
 
-/** Fields that every line has or that the step tells already. */
-const leftOut = new Set(['event', 'level', 'time', 'msg', 'request']);
+/** Fields that are not shown, since every line has them or the step contains them. */
+const omittedFields = new Set(['event', 'level', 'time', 'msg', 'request']);
 
-/** Least time that counts as one of the wall, in milliseconds: collectors count from their start. */
-const leastWallTime = Date.UTC(2000);
+/** Earliest time taken as wall time, in milliseconds; smaller values count from the start of the log collector. */
+const minWallTime = Date.UTC(2000);
 
-/** Explains the story of a request. */
-export function describeRequest(story: RequestStory): Explanation {
-	const [first] = story.lines;
-	const around = new Set(story.around);
+/** Derives the explanation from the timeline of a request. */
+export function describeRequest(timeline: RequestTimeline): Explanation {
+	const [first] = timeline.lines;
+	const related = new Set(timeline.related);
 	return {
-		request: story.request,
-		cause: findCause(story),
-		verdict: story.ended?.verdict ?? 'no end known',
-		startedAt: first.at >= leastWallTime ? new Date(first.at).toISOString() : Math.round(first.at),
-		steps: sortByTime([...story.lines, ...story.around]).map(line => ({
+		request: timeline.request,
+		cause: findCause(timeline),
+		verdict: timeline.ended?.verdict ?? 'no end known',
+		startedAt: first.at >= minWallTime ? new Date(first.at).toISOString() : Math.round(first.at),
+		steps: sortByTime([...timeline.lines, ...timeline.related]).map(line => ({
 			after: Math.round(line.at - first.at),
 			node: line.writer,
 			event: line.event,
-			isAround: around.has(line),
+			isAround: related.has(line),
 			facts: pickFacts(line),
 		})),
 	};
 }
 
-/** Formats an explanation as text: the cause, then a line each step. */
+/** Formats an explanation as text: the cause, then one line for each step. */
 export function formatExplanation({
 	request, cause, startedAt, steps,
 }: Explanation): string {
@@ -63,19 +63,19 @@
 	return [`${request}: ${cause}`, '', `Since ${since}; · marks what befell its servers and nodes:`, ...rows, ''].join('\n');
 }
 
-/** The facts of a line as one text. */
+/** Formats the fields of a line as one string. */
 export function listFacts(line: LogLine): string {
 	return formatFacts(pickFacts(line));
 }
 
 function pickFacts(line: LogLine): Record<string, unknown> {
-	const told = Object.entries(line.fields).filter(([name, value]) => !leftOut.has(name) && value !== undefined && value !== null);
+	const shown = Object.entries(line.fields).filter(([name, value]) => !omittedFields.has(name) && value !== undefined && value !== null);
 	if (findText(line, 'reason') === undefined && line.event === 'call_refused') {
-		told.push(['reason', line.fields.msg]);
+		shown.push(['reason', line.fields.msg]);
 	}
 
-	const findRank = (name: string) => firstFacts.includes(name) ? firstFacts.indexOf(name) : firstFacts.length;
-	return Object.fromEntries(told.sort(([left], [right]) => findRank(left) - findRank(right)));
+	const findRank = (name: string) => leadingFields.includes(name) ? leadingFields.indexOf(name) : leadingFields.length;
+	return Object.fromEntries(shown.sort(([left], [right]) => findRank(left) - findRank(right)));
 }
 
 function formatFacts(facts: Record<string, unknown>): string {
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -1,4 +1,4 @@
-/** The checks on a settings file: types, ranges, defaults. */
+/** Schema of the settings file: types, ranges and defaults. */
 import * as z from 'zod';
 
 const ipNumber = z.union([z.ipv4(), z.ipv6()], {error: 'write an IP number such as "10.0.0.5"; names are not looked up'});
@@ -6,9 +6,9 @@
 const name = z.string({error: 'write a name in quotes'})
 	.regex(/^[a-z\d][a-z\d-]{0,62}$/, {error: 'use 1 to 63 lower-case letters, digits and hyphens, beginning with a letter or digit'});
 
-function defineWholeNumber(least: number, most: number, byDefault: number) {
-	const error = `write a whole number from ${least} to ${most}`;
-	return z.int({error}).min(least, {error}).max(most, {error}).default(byDefault);
+function defineWholeNumber(min: number, max: number, defaultValue: number) {
+	const error = `write a whole number from ${min} to ${max}`;
+	return z.int({error}).min(min, {error}).max(max, {error}).default(defaultValue);
 }
 
 const team = z.strictObject({
@@ -37,7 +37,7 @@
 	}
 });
 
-/** The shape of a settings file; keys as written in TOML. */
+/** Schema of a settings file, with keys as written in TOML. */
 export const settingsSchema = z.strictObject({
 	box: name,
 	region: name,
@@ -59,5 +59,5 @@
 	metrics: z.strictObject({host: ipNumber, port: port.default(8125)}).optional(),
 });
 
-/** A settings file as parsed, before its keys are renamed. */
+/** A parsed settings file, before its keys are converted to camel case. */
 export type SettingsFile = z.infer<typeof settingsSchema>;
--- a/test/helpers/commands.ts
+++ b/test/helpers/commands.ts
@@ -1,13 +1,13 @@
-/** Commands of the program, run inside of a test as the command line runs them. */
+/** Runs commands of the program within a test process. */
 import process from 'node:process';
 import {CommanderError} from 'commander';
 import {createProgram, findExitCode} from '../../src/cli/index.js';
 
-/** What a command printed and ended with. */
+/** Output and exit code of a command. */
 export type CommandEnd = {code: number; out: string; error: string};
 
-/** Runs one command; the process' own exit code stays as it was. */
-export async function runCommand(...words: string[]): Promise<CommandEnd> {
+/** Runs one command; restores the exit code of the test process afterwards. */
+export async function runCommand(...args: string[]): Promise<CommandEnd> {
 	const end: CommandEnd = {code: 0, out: '', error: ''};
 	const {exitCode} = process;
 	const [writeOut, writeError] = [process.stdout.write, process.stderr.write];
@@ -23,7 +23,7 @@
 
 	process.exitCode = undefined;
 	try {
-		await createProgram().parseAsync(words, {from: 'user'});
+		await createProgram().parseAsync(args, {from: 'user'});
 		end.code = Number(process.exitCode ?? 0);
 	} catch (error) {
 		if (!(error instanceof CommanderError)) {
