--- a/src/gateway/calls/call-run.ts
+++ b/src/gateway/calls/call-run.ts
@@ -2,7 +2,7 @@
  * Runs one call, from its first placement to the end of its answer.
  *
  * A request that may run only once is sent once. A repeatable one is retried on another server after a failure, and
- * a resumable stream continues there after its last complete event. The caller is told that nothing ran only when
+ * a resumable stream continues there after its last complete event. The response states that nothing ran only when
  * nothing was sent, or when every server that received the request stated that it did not run it.
  */
 import {
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -339,13 +339,13 @@
 	async #supervise(): Promise<void> {
 		const {clock, logger, random, source} = this.#parts;
 		const supervisor = new Supervisor('gateway', clock, logger);
-		const asksSource = () => this.#views.asksSource;
+		const mayQuerySource = () => this.#views.mayQuerySource;
 		const health = this.#sourceHealth;
 		supervisor.addChild(new Follower({
 			name: 'configuration',
 			timing: followTiming,
 			health,
-			isAssigned: asksSource,
+			isAssigned: mayQuerySource,
 			source: source.configurations,
 			state: this.state,
 			onList: listing => {
@@ -359,7 +359,7 @@
 			name: 'servers',
 			timing: followTiming,
 			health,
-			isAssigned: asksSource,
+			isAssigned: mayQuerySource,
 			source: source.servers,
 			state: this.state,
 			onList: listing => {
--- a/src/gateway/peers/peer-socket.ts
+++ b/src/gateway/peers/peer-socket.ts
@@ -97,8 +97,8 @@
 		}
 	}
 
-	#send(socket: Socket, {heartbeat: beat, addresses}: OutgoingHeartbeat): void {
-		const message = encodeHeartbeat(beat);
+	#send(socket: Socket, {heartbeat, addresses}: OutgoingHeartbeat): void {
+		const message = encodeHeartbeat(heartbeat);
 		for (const address of addresses) {
 			sendDatagram(socket, message, address);
 		}
--- a/src/gateway/scheduling/fleet-placer.ts
+++ b/src/gateway/scheduling/fleet-placer.ts
@@ -402,10 +402,10 @@
 	}
 
 	#sendEvents(service: ServiceName, plans: ServicePlans): void {
-		const {pendingEvents: notes} = plans;
+		const {pendingEvents} = plans;
 		plans.pendingEvents = [];
 		plans.eventTimer = undefined;
-		this.#updates.sendToNode(plans.scheduler?.name, service, {notes});
+		this.#updates.sendToNode(plans.scheduler?.name, service, {notes: pendingEvents});
 	}
 
 	#findPlans(service: ServiceName): ServicePlans {
--- a/src/gateway/views/view-exchange.ts
+++ b/src/gateway/views/view-exchange.ts
@@ -97,7 +97,7 @@
 	}
 
 	/** Whether this node queries the source itself: a watcher does, and so does any node without a usable view. */
-	get asksSource(): boolean {
+	get mayQuerySource(): boolean {
 		return this.#parts.state.isUsable ? this.#isWatcher && this.#isPastRestartDelay : !this.#isFirstStartWaiting;
 	}
 
--- a/src/gateway/views/view-responder.ts
+++ b/src/gateway/views/view-responder.ts
@@ -1,7 +1,7 @@
 /**
  * Answers requests of other nodes for this node's view.
  *
- * Servers and configuration are separate requests: news of a leaving server must spread within one message's time
+ * Servers and configuration are separate requests: the removal of a leaving server must spread within one message's time
  * and must not queue behind thousands of routes.
  */
 import type {FleetState} from '../../routing/index.js';
--- a/src/planning/fleet-visibility.ts
+++ b/src/planning/fleet-visibility.ts
@@ -1,5 +1,5 @@
 /**
- * How much of the fleet a deciding node sees, and how it decides while it sees little. Pure.
+ * How much of the fleet a scheduling node sees, and how it decides while it sees little. Pure.
  *
  * Load pattern: all nodes restart together and their callers return at once. For about a second each node decides alone and sees all servers
  * as free. If all nodes order the servers alike, they overload the same few: of 680 prompts that 77 nodes placed this way, 480 went to six of
@@ -10,7 +10,7 @@
 import type {ServerLoad} from './server-load.js';
 import {compareServers, type ServerGroups} from './server-partition.js';
 
-/** Number of nodes whose plans a deciding node sees, including its own, and number of nodes that it knows of. A node that decides because no other one answers sees only its own plans. */
+/** Number of nodes whose plans a scheduling node sees, including its own, and number of nodes that it knows of. A node that decides because no other one answers sees only its own plans. */
 export type FleetVisibility = {seen: number; known: number};
 
 /** Visibility of a node that decides for the whole fleet. */
--- a/src/planning/retry-histories.ts
+++ b/src/planning/retry-histories.ts
@@ -1,5 +1,5 @@
 /**
- * Retry histories that nodes report to a new deciding node: requests and retries that other nodes decided for them. Pure.
+ * Retry histories that nodes report to a new scheduling node: requests and retries that other nodes decided for them. Pure.
  *
  * Times are monotonic milliseconds.
  */
@@ -28,7 +28,7 @@
 
 type ReceivedHistory = RetryHistory & {receivedAt: number};
 
-/** Histories that a deciding node has received. */
+/** Histories that a scheduling node has received. */
 export class RetryHistories {
 	readonly #window: number;
 	readonly #histories = new Map<string, ReceivedHistory>();
--- a/src/planning/server-limits.ts
+++ b/src/planning/server-limits.ts
@@ -1,7 +1,7 @@
 /**
  * Request limits that backend servers declare, and how much of each may still be granted. Pure.
  *
- * A limit applies to all nodes together. The deciding node grants requests from one token bucket for each server; a node that decides for a
+ * A limit applies to all nodes together. The scheduling node grants requests from one token bucket for each server; a node that decides for a
  * part of the fleet grants that part of the rate, so that all grants add up to the limit.
  *
  * Load pattern: a server declares one request a second, and six nodes send it three.
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -88,9 +88,9 @@
 	await waitUntil(() => fleet.gateways.every(gateway => gateway.listReadyNodes().length === nodes));
 }
 
-async function sendStream(body: string, node: number, leaveAfter?: number): Promise<number> {
+async function sendStream(body: string, node: number, abortAfter?: number): Promise<number> {
 	const {status} = await fleet.call({
-		path: '/stream/', body, abortAfter: leaveAfter, headers: {'cresshook-token-usage': '500,80'},
+		path: '/stream/', body, abortAfter, headers: {'cresshook-token-usage': '500,80'},
 	}, node % fleet.settings.length);
 	return status;
 }
--- a/test/deadly-requests.test.ts
+++ b/test/deadly-requests.test.ts
@@ -76,8 +76,8 @@
 async function callUntil(body: string, end: number, gap: number): Promise<number[]> {
 	const statuses: number[] = [];
 	for (let attempt = 0; Date.now() < end; attempt++) {
-		const {status, isComplete: isWhole} = await fleet.call({path: '/stream/', body, headers: {'cresshook-token-usage': '500,80'}}, attempt % fleet.settings.length);
-		statuses.push(isWhole ? status : 0);
+		const {status, isComplete} = await fleet.call({path: '/stream/', body, headers: {'cresshook-token-usage': '500,80'}}, attempt % fleet.settings.length);
+		statuses.push(isComplete ? status : 0);
 		await pause(gap);
 	}
 
@@ -202,5 +202,5 @@
 	}
 
 	const answers = await callOnce(12);
-	expect(answers.map(({status, isComplete: isWhole}) => [status, isWhole])).toEqual(answers.map(() => [200, true]));
+	expect(answers.map(({status, isComplete}) => [status, isComplete])).toEqual(answers.map(() => [200, true]));
 }, testTimeout);
--- a/test/fleet-visibility.test.ts
+++ b/test/fleet-visibility.test.ts
@@ -69,7 +69,7 @@
 test('a node that sees half of the fleet decides like one that sees all of it', () => {
 	const half = {seen: 2, known: 4};
 	const request = createPlanRequest(5000, shortOptions);
-	const plans = [half, full].map(sight => expectPlan(createPlanner(60).decide(request, 0, sight).unsafeCoerce()));
+	const plans = [half, full].map(visibility => expectPlan(createPlanner(60).decide(request, 0, visibility).unsafeCoerce()));
 	expect(plans[0].server).toBe(plans[1].server);
 	expect(planNow(createPlanner(60), request).server).toBe(plans[1].server);
 });
--- a/test/helpers/greedy-fleet.ts
+++ b/test/helpers/greedy-fleet.ts
@@ -61,7 +61,7 @@
 	}
 }
 
-/** A simulated fleet with its own clock; the first node of a partition is its deciding node. */
+/** A simulated fleet with its own clock; the first node of a partition is its scheduling node. */
 export class GreedyFleet {
 	/** Times of retries and of requests, in milliseconds. */
 	readonly retriesAt: number[] = [];
@@ -121,23 +121,23 @@
 
 	#serve(index: number, side: number[], now: number): void {
 		const node = this.#nodes[index];
-		const decider = this.#nodes[side[0]];
+		const scheduler = this.#nodes[side[0]];
 		for (const other of side) {
 			node.observe(other, this.#nodes[other].life, now);
 		}
 
-		if (node.reportedTo !== decider.life) {
-			node.reportedTo = decider.life;
-			decider.retries.addHistory(node.retries.describeHistory(now, {life: node.life, age: node.computeAge(now), known: node.countKnown()}, decider.life), now);
+		if (node.reportedTo !== scheduler.life) {
+			node.reportedTo = scheduler.life;
+			scheduler.retries.addHistory(node.retries.describeHistory(now, {life: node.life, age: node.computeAge(now), known: node.countKnown()}, scheduler.life), now);
 		}
 
 		this.requestsAt.push(now);
-		decider.retries.recordDecided(now, value);
-		node.retries.recordOwn(now, value, decider.life);
-		const membership = decider.describeMembership(side, now);
+		scheduler.retries.recordDecided(now, value);
+		node.retries.recordOwn(now, value, scheduler.life);
+		const membership = scheduler.describeMembership(side, now);
 		for (let count = 0; count < retriesPerRequest; count++) {
-			if (decider.retries.grant(now, value, membership)) {
-				node.retries.recordGranted(now, decider.life);
+			if (scheduler.retries.grant(now, value, membership)) {
+				node.retries.recordGranted(now, scheduler.life);
 			} else if (!node.retries.takeFallback(now, value, node.describeMembership(side, now))) {
 				return;
 			}
--- a/test/helpers/store-fleet.ts
+++ b/test/helpers/store-fleet.ts
@@ -274,7 +274,7 @@
 		const configurations = new SimulatedSource<RoutingConfig>(this.store, node.index, 'configuration', clock);
 		const servers = new SimulatedSource<BackendServer>(this.store, node.index, 'servers', clock);
 		const common = {
-			timing: followTiming, health, isAssigned: () => exchange.asksSource, state,
+			timing: followTiming, health, isAssigned: () => exchange.mayQuerySource, state,
 		};
 		const followers = [
 			new Follower<RoutingConfig>({
--- a/test/limit-grants.test.ts
+++ b/test/limit-grants.test.ts
@@ -1,4 +1,4 @@
-// Nodes that use up their granted shares of a server's limit while the deciding node changes.
+// Nodes that use up their granted shares of a server's limit while the scheduling node changes.
 import {expect, test} from '@jest/globals';
 import fc from 'fast-check';
 import {CallWire} from '../platform/index.js';
@@ -9,7 +9,7 @@
 const server = 'i-000' as BackendServerId;
 const nodeCount = 6;
 
-/** Share of the limit that the other nodes grant together as a fallback for the deciding node. */
+/** Share of the limit that the other nodes grant together as a fallback for the scheduling node. */
 const fallbackShare = 0.3;
 
 /** Length of a step and of a window, in milliseconds. */
@@ -61,38 +61,38 @@
 }
 
 /** Shares when one node decides for all. */
-function decideAlone(decider: number): number[] {
-	return Array.from({length: nodeCount}, (_, index) => index === decider ? 1 : 0);
+function decideAlone(scheduler: number): number[] {
+	return Array.from({length: nodeCount}, (_, index) => index === scheduler ? 1 : 0);
 }
 
 /** Shares when one node decides and all others grant as a fallback. */
-function grantFallback(decider: number): number[] {
-	return Array.from({length: nodeCount}, (_, index) => index === decider ? 1 : fallbackShare / nodeCount);
+function grantFallback(scheduler: number): number[] {
+	return Array.from({length: nodeCount}, (_, index) => index === scheduler ? 1 : fallbackShare / nodeCount);
 }
 
-/** Shares when the fleet is partitioned and each part has a deciding node. */
-function partition(decider: number, part: number): number[] {
-	const shares = decideAlone(decider).map(share => share * part / nodeCount);
-	shares[(decider + 1) % nodeCount] = (nodeCount - part) / nodeCount;
+/** Shares when the fleet is partitioned and each part has a scheduling node. */
+function partition(scheduler: number, part: number): number[] {
+	const shares = decideAlone(scheduler).map(share => share * part / nodeCount);
+	shares[(scheduler + 1) % nodeCount] = (nodeCount - part) / nodeCount;
 	return shares;
 }
 
 const phases = fc.array(fc.record({
 	shares: fc.oneof(
-		fc.nat(nodeCount - 1).map(decider => decideAlone(decider)),
-		fc.nat(nodeCount - 1).map(decider => grantFallback(decider)),
-		fc.tuple(fc.nat(nodeCount - 1), fc.integer({min: 1, max: nodeCount - 1})).map(([decider, part]) => partition(decider, part)),
+		fc.nat(nodeCount - 1).map(scheduler => decideAlone(scheduler)),
+		fc.nat(nodeCount - 1).map(scheduler => grantFallback(scheduler)),
+		fc.tuple(fc.nat(nodeCount - 1), fc.integer({min: 1, max: nodeCount - 1})).map(([scheduler, part]) => partition(scheduler, part)),
 	),
 	duration: fc.oneof(fc.integer({min: 1500, max: 8000}), fc.constant(60_000)),
 }), {minLength: 1, maxLength: 8});
 
-test('grants of all nodes together stay within a limit while the deciding node changes', () => {
+test('grants of all nodes together stay within a limit while the scheduling node changes', () => {
 	fc.assert(fc.property(fc.constantFrom(0, 0.1, 0.5, 1, 3, 10, 200), phases, (rate, drawn) => {
 		expect(findBusiest(runPhases(rate, drawn))).toBeLessThanOrEqual(computeAllowed(rate));
 	}), {seed: 46, numRuns: 200});
 });
 
-test.each([0.5, 1, 10, 200])('the deciding node grants at least nine tenths of a limit of %d a second', rate => {
+test.each([0.5, 1, 10, 200])('the scheduling node grants at least nine tenths of a limit of %d a second', rate => {
 	const seconds = 20;
 	const granted = runPhases(rate, [{shares: decideAlone(0), duration: seconds * 1000}]);
 	expect(granted.length).toBeGreaterThanOrEqual(rate * seconds * 0.9);
--- a/test/planner-runs.test.ts
+++ b/test/planner-runs.test.ts
@@ -40,7 +40,7 @@
 }
 
 /** The current planner. */
-class DecidingNode {
+class SchedulingNode {
 	planner: Planner;
 	readonly #ids = createIds();
 
@@ -68,20 +68,20 @@
 	return held;
 }
 
-function checkCounts(model: PlansModel, {planner}: DecidingNode): void {
+function checkCounts(model: PlansModel, {planner}: SchedulingNode): void {
 	expect(planner.planCount).toBe(model.plans.length);
 	expect(planner.shortCount).toBe(model.plans.filter(held => !held.isLong).length);
 }
 
 /** A step of a run; `apply` applies it to the model and the planner. */
-class PlanStep implements fc.Command<PlansModel, DecidingNode> {
-	constructor(readonly name: string, readonly args: unknown, readonly apply: (model: PlansModel, real: DecidingNode) => void) {}
+class PlanStep implements fc.Command<PlansModel, SchedulingNode> {
+	constructor(readonly name: string, readonly args: unknown, readonly apply: (model: PlansModel, real: SchedulingNode) => void) {}
 
 	check(): boolean {
 		return true;
 	}
 
-	run(model: PlansModel, real: DecidingNode): void {
+	run(model: PlansModel, real: SchedulingNode): void {
 		this.apply(model, real);
 		checkCounts(model, real);
 	}
@@ -169,7 +169,7 @@
 	});
 }
 
-/** Another node starts deciding and adopts the plans, some of them twice. */
+/** Another node starts scheduling and adopts the plans, some of them twice. */
 function takeOver(): PlanStep {
 	return new PlanStep('takeover', undefined, (model, real) => {
 		const planner = real.create();
@@ -214,6 +214,6 @@
 
 test('for any sequence of events a planner holds exactly the plans in progress, on servers that accept work and within their memory', () => {
 	fc.assert(fc.property(fc.commands(steps, {maxCommands: 80, size: '+1'}), commands => {
-		fc.modelRun(() => ({model: new PlansModel(), real: new DecidingNode()}), commands);
+		fc.modelRun(() => ({model: new PlansModel(), real: new SchedulingNode()}), commands);
 	}), {seed, numRuns: 300});
 });
--- a/test/retries.test.ts
+++ b/test/retries.test.ts
@@ -55,23 +55,23 @@
 
 const membership = createMembership(fleetSize);
 
-/** Runs calls until a time in milliseconds; returns the deciding node and the nodes that ask it. */
-function serveCalls(until: number): {decider: FleetRetryBudget; nodes: FleetRetryBudget[]} {
-	const decider = new FleetRetryBudget(limits);
+/** Runs calls until a time in milliseconds; returns the scheduling node and the nodes that ask it. */
+function serveCalls(until: number): {scheduler: FleetRetryBudget; nodes: FleetRetryBudget[]} {
+	const scheduler = new FleetRetryBudget(limits);
 	const nodes = Array.from({length: fleetSize}, () => new FleetRetryBudget(limits));
 	for (let call = 0; call < until * callsPerSecond / 1000; call++) {
 		const at = call * 1000 / callsPerSecond;
-		decider.recordDecided(at, value);
+		scheduler.recordDecided(at, value);
 		nodes[call % fleetSize].recordOwn(at, value, 'decider');
 	}
 
-	return {decider, nodes};
+	return {scheduler, nodes};
 }
 
-/** Takes all retries that a deciding node grants, for its nodes in turn; returns their number. */
-function takeAll(decider: FleetRetryBudget, nodes: FleetRetryBudget[], now: number, current = membership): number {
+/** Takes all retries that a scheduling node grants, for its nodes in turn; returns their number. */
+function takeAll(scheduler: FleetRetryBudget, nodes: FleetRetryBudget[], now: number, current = membership): number {
 	let spent = 0;
-	while (decider.grant(now, value, current)) {
+	while (scheduler.grant(now, value, current)) {
 		nodes[spent % nodes.length].recordGranted(now, 'decider');
 		spent++;
 	}
@@ -80,21 +80,21 @@
 }
 
 test('a third of 150 servers fail at once: each of their 200 calls, on 60 of 195 nodes, gets its retry', () => {
-	const {decider, nodes} = serveCalls(20_000);
+	const {scheduler, nodes} = serveCalls(20_000);
 	const asked = Array.from({length: 200}, (_, index) => nodes[index % 60]);
-	const granted = asked.filter(node => decider.grant(20_000, value, membership) || node.takeFallback(20_000, value, membership)).length;
+	const granted = asked.filter(node => scheduler.grant(20_000, value, membership) || node.takeFallback(20_000, value, membership)).length;
 	expect(granted).toBe(200);
-	// Without a deciding node, each node has its own small share of the same budget.
+	// Without a scheduling node, each node has its own small share of the same budget.
 	const alone = serveCalls(20_000).nodes.slice(0, 60);
-	const withoutDecider = asked.filter((_, index) => alone[index % 60].takeFallback(20_000, value, membership)).length;
-	expect(withoutDecider).toBeLessThan(100);
+	const withoutScheduler = asked.filter((_, index) => alone[index % 60].takeFallback(20_000, value, membership)).length;
+	expect(withoutScheduler).toBeLessThan(100);
 });
 
-test('a previous deciding node, a new one and nodes on their own never exceed the budget together', () => {
+test('a previous scheduling node, a new one and nodes on their own never exceed the budget together', () => {
 	fc.assert(fc.property(fc.integer({min: 12_000, max: 20_000}), fc.integer({min: 0, max: 9000}), (changeAt, later) => {
-		const {decider, nodes} = serveCalls(changeAt);
+		const {scheduler, nodes} = serveCalls(changeAt);
 		const next = new FleetRetryBudget(limits);
-		let spent = takeAll(decider, nodes, changeAt);
+		let spent = takeAll(scheduler, nodes, changeAt);
 		next.recordDecided(changeAt, value);
 		for (const [index, node] of nodes.entries()) {
 			next.addHistory(node.describeHistory(changeAt, {life: `n${index}`, age: 60_000, known: fleetSize}, 'next'), changeAt);
@@ -117,11 +117,11 @@
 	}), {seed: 7, numRuns: 40});
 });
 
-test('two partitions of a fleet with a deciding node each stay within the budget together', () => {
-	const sides = [0, 1].map(() => serveCalls(20_000).decider);
+test('two partitions of a fleet with a scheduling node each stay within the budget together', () => {
+	const sides = [0, 1].map(() => serveCalls(20_000).scheduler);
 	let spent = 0;
-	for (const decider of sides) {
-		while (decider.grant(20_000, value, createMembership(98))) {
+	for (const scheduler of sides) {
+		while (scheduler.grant(20_000, value, createMembership(98))) {
 			spent++;
 		}
 	}
@@ -131,10 +131,10 @@
 });
 
 test('a node that has not decided recently grants none of the slack until it has received histories, or all nodes had time to report', () => {
-	const {decider, nodes} = serveCalls(20_000);
+	const {scheduler, nodes} = serveCalls(20_000);
 	const grantAt = (now: number) => {
-		decider.recordDecided(now, value);
-		return takeAll(decider, nodes, now);
+		scheduler.recordDecided(now, value);
+		return takeAll(scheduler, nodes, now);
 	};
 
 	expect(grantAt(30_000)).toBe(0);
@@ -146,28 +146,28 @@
 });
 
 test('a request that was decided by another node does not reduce the known share of the fleet', () => {
-	const {decider, nodes} = serveCalls(20_000);
-	const before = decider.describeBudget(20_000, membership).memory;
+	const {scheduler, nodes} = serveCalls(20_000);
+	const before = scheduler.describeBudget(20_000, membership).memory;
 	nodes[0].recordOwn(19_990, value, 'other');
-	decider.addHistory(nodes[0].describeHistory(20_000, {life: 'n0', age: 60_000, known: fleetSize}, 'decider'), 20_000);
-	expect([before, decider.describeBudget(20_000, membership).memory]).toEqual([1, 1]);
+	scheduler.addHistory(nodes[0].describeHistory(20_000, {life: 'n0', age: 60_000, known: fleetSize}, 'decider'), 20_000);
+	expect([before, scheduler.describeBudget(20_000, membership).memory]).toEqual([1, 1]);
 });
 
 test('a budget is described by the requests and retries of all known nodes, and the share of the fleet whose history is known', () => {
-	const {decider, nodes} = serveCalls(20_000);
-	takeAll(decider, nodes.slice(0, 1), 20_000);
-	expect(decider.describeBudget(20_000, createMembership(98))).toEqual({requests: 1600, retries: 353, memory: 98 / 195});
+	const {scheduler, nodes} = serveCalls(20_000);
+	takeAll(scheduler, nodes.slice(0, 1), 20_000);
+	expect(scheduler.describeBudget(20_000, createMembership(98))).toEqual({requests: 1600, retries: 353, memory: 98 / 195});
 	const next = new FleetRetryBudget(limits);
 	next.recordDecided(20_000, value);
 	next.addHistory(nodes[0].describeHistory(20_000, {life: 'n0', age: 1500, known: fleetSize}, 'next'), 20_000);
 	expect(next.describeBudget(20_000, membership)).toEqual({requests: 9, retries: 353, memory: 0.45 / 195});
 });
 
-test('a new deciding node that has received all histories continues the count of the previous one', () => {
-	const {decider, nodes} = serveCalls(20_000);
-	const unchanged = serveCalls(20_000).decider;
+test('a new scheduling node that has received all histories continues the count of the previous one', () => {
+	const {scheduler, nodes} = serveCalls(20_000);
+	const unchanged = serveCalls(20_000).scheduler;
 	for (let count = 0; count < 100; count++) {
-		expect([decider, unchanged].map(each => each.grant(20_000, value, membership))).toEqual([true, true]);
+		expect([scheduler, unchanged].map(each => each.grant(20_000, value, membership))).toEqual([true, true]);
 		nodes[count % fleetSize].recordGranted(20_000, 'decider');
 	}
 
--- a/test/routed-replay.test.ts
+++ b/test/routed-replay.test.ts
@@ -139,7 +139,7 @@
 	expect(measureShare(findWorkload('large'))).toBeGreaterThan(0.85);
 });
 
-test('a server that goes dark tells nobody, and what it helps to read stands still before it is lost', () => {
+test('an unreachable server reports no failure, and the prefill that it helps with makes no progress until the server counts as lost', () => {
 	const timers = new Timers();
 	const [first, helper] = [1, 2].map(() => new PassServer(workload.engine, timers.schedule));
 	const own: number[] = [];
