--- a/src/standin/faulty-network.ts
+++ b/src/standin/faulty-network.ts
@@ -1,37 +1,37 @@
-/** The network between nodes, with cuts and pauses that tests switch on. */
+/** Simulates network partitions and paused processes between nodes. */
 import type {Clock} from '../common/index.js';
 import {NodeClients, type NodeRequest, type NodeResponse} from '../rpc/index.js';
 
-/** Decides what becomes of messages between boxes. */
+/** Delivers, rejects or delays messages between boxes. */
 export class FaultyNetwork {
 	readonly #boxes = new Map<string, string>();
 	readonly #cut = new Set<string>();
-	/** Boxes whose calls to another box fail, with those other boxes. */
+	/** One-way partitions: for each sending box, the boxes that it cannot reach. */
 	readonly #cutPaths = new Map<string, Set<string>>();
 	readonly #paused = new Map<string, Array<() => void>>();
 
-	/** Notes which box answers at an address. */
+	/** Registers the address of the node on a box. */
 	addNode(box: string, nodeUrl: string): void {
 		this.#boxes.set(new URL(nodeUrl).origin, box);
 	}
 
-	/** Cuts a box off: messages from and to it fail at once. */
+	/** Partitions a box: messages from and to it fail immediately. */
 	cut(box: string): void {
 		this.#cut.add(box);
 	}
 
-	/** Cuts the way from a box to another one: calls of the first to the second fail at once, and the second may still call the first. */
+	/** Partitions one direction: calls from the first box to the second fail immediately, calls the other way still succeed. */
 	cutPath(from: string, to: string): void {
 		const targets = this.#cutPaths.get(from) ?? new Set();
 		this.#cutPaths.set(from, targets.add(to));
 	}
 
-	/** Holds messages to a box as a paused process does: their senders hear nothing, and they arrive when it wakes. */
+	/** Holds back messages to a box as if its process were paused: senders get no reply until `restore` delivers them. */
 	pause(box: string): void {
 		this.#paused.set(box, []);
 	}
 
-	/** Ends a cut, a pause, or the cut ways from a box. */
+	/** Ends the partition, the outgoing one-way partitions and the pause of a box, and delivers the messages held back. */
 	restore(box: string): void {
 		this.#cut.delete(box);
 		this.#cutPaths.delete(box);
@@ -42,18 +42,18 @@
 		}
 	}
 
-	/** Makes the clients of a box. */
+	/** Creates the node clients of a box, which send through this network. */
 	createClients(box: string, secret: string, clock: Clock): NodeClients {
 		return new FaultyClients(this, box, {secret, clock});
 	}
 
-	/** Whether messages between a box and an address are cut. */
+	/** Whether a partition blocks messages from a box to an address. */
 	isCut(from: string, target: string): boolean {
 		const to = this.#findBox(target);
 		return this.#cut.has(from) || this.#cut.has(to) || this.#cutPaths.get(from)?.has(to) === true;
 	}
 
-	/** Resolves when a message may arrive; undefined when nothing holds it. */
+	/** Resolves when the target resumes; undefined when it is not paused. */
 	findPause(target: string): Promise<void> | undefined {
 		const held = this.#paused.get(this.#findBox(target));
 		return held === undefined
@@ -80,25 +80,25 @@
 
 	protected override async send(target: string, init: NodeRequest): Promise<NodeResponse> {
 		if (this.#network.isCut(this.#box, target)) {
-			throw new Error('the network is cut');
+			throw new Error('network partitioned: the target is unreachable');
 		}
 
 		const pause = this.#network.findPause(target);
 		return pause === undefined ? super.send(target, init) : this.#sendLater(pause, target, init);
 	}
 
-	/** The sender may give up, but what is sent arrives all the same. */
+	/** Delivers the request even if the sender aborts meanwhile, because a sent message cannot be recalled. */
 	async #sendLater(pause: Promise<void>, target: string, init: NodeRequest): Promise<NodeResponse> {
-		const arrive = async (): Promise<NodeResponse> => {
+		const deliver = async (): Promise<NodeResponse> => {
 			await pause;
 			return super.send(target, {...init, signal: undefined});
 		};
 
-		const giveUp = new Promise<never>((_resolve, reject) => {
+		const aborted = new Promise<never>((_resolve, reject) => {
 			init.signal?.addEventListener('abort', () => {
-				reject(new Error('gave up'));
+				reject(new Error('the request was aborted while the target was paused'));
 			});
 		});
-		return Promise.race([arrive(), giveUp]);
+		return Promise.race([deliver(), aborted]);
 	}
 }
--- a/src/standin/standin-engine.ts
+++ b/src/standin/standin-engine.ts
@@ -1,59 +1,56 @@
 /**
- * A small stand-in for an engine: OpenAI's completion API, continuous batching
- * over a token memory, priorities, resume, cancel, a list of what runs, lagging
- * load, cache events, and orders with or without a fence.
+ * Simulates an inference engine with OpenAI's completion API: continuous batching, priorities, resume, cancellation, delayed load reports, cache events and fenced orders.
  *
- * Its model: a step every `stepMilliseconds`; in each step up to the prefill rate
- * is read of prompts, in order of priority, and every request past its prompt
- * makes one token. Text is `t1 t2 t3 …`, so that a reader can see a lost token.
+ * Each step prefills prompts by priority up to the prefill rate, and then every prefilled request generates one token.
+ * The text is `t1 t2 t3 …`, so that a lost token shows.
  */
 import {createHash} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
 import {fastify, type FastifyInstance} from 'fastify';
 import {waitFor, type Clock} from '../common/index.js';
 
-/** How the stand-in behaves. */
+/** Capacity, speed and reporting delays of a stand-in engine. */
 export type StandinEngineOptions = {
 	clock: Clock;
-	/** Tokens of memory. */
+	/** Memory in tokens. */
 	capacity: number;
-	/** Prompt tokens read a second. */
+	/** Prompt tokens prefilled per second, over all requests. */
 	prefillRate: number;
-	/** Milliseconds of one step. */
+	/** Length of one step in milliseconds. */
 	stepMilliseconds: number;
-	/** Least milliseconds between two tokens of a request; 0 makes one a step. */
+	/** Minimum time between two tokens of a request in milliseconds; 0 generates one token per step. */
 	tokenInterval: number;
-	/** Whether orders are refused whose fence is lower than the highest seen. */
+	/** Whether orders are rejected whose fence is lower than the highest one seen. */
 	checksOrders: boolean;
-	/** Milliseconds by which reported load lags. */
+	/** Delay of reported load in milliseconds. */
 	loadLag: number;
-	/** Milliseconds after which cache events are published. */
+	/** Delay before a cache event is published, in milliseconds. */
 	cacheEventDelay: number;
 };
 
-/** Faults that tests switch on; each is off when absent. */
+/** Injected faults; each is off when absent. */
 export type EngineFaults = {
-	/** Refuse new work with 503. */
+	/** Reject new requests with 503. */
 	refuse?: boolean;
-	/** Cut the connection of an answer after this many events, once. */
+	/** Close the connection of a stream after this number of events, once. */
 	cutAfter?: number;
-	/** Send a chunk of another request after this many events, once. */
+	/** Send an event with the id of another request after this number of events, once. */
 	crossAfter?: number;
 	/** Send every event twice. */
 	double?: boolean;
-	/** Leave out the event with this sequence number, once. */
+	/** Omit the event with this sequence number, once. */
 	skip?: number;
-	/** End without a finish marker, once. */
+	/** End a stream without `[DONE]`, once. */
 	loseMarker?: boolean;
-	/** Take requests and never answer. */
+	/** Accept requests and never generate a token. */
 	hang?: boolean;
-	/** Do not know any request that is to be resumed. */
+	/** Answer every resume with 404. */
 	forget?: boolean;
-	/** Publish every second cache event only. */
+	/** Drop every cache event with an even sequence number. */
 	cacheGaps?: boolean;
 };
 
-/** A request that the engine holds. */
+/** A request that waits, runs, or is finished and can still be resumed. */
 type EngineRequest = {
 	id: string;
 	isChat: boolean;
@@ -64,20 +61,22 @@
 	outputTokens: number;
 	choices: number;
 	wantsUsage: boolean;
-	/** Prompt tokens read so far. */
-	read: number;
-	made: number;
-	/** Monotonic time before which it makes no further token. */
+	/** Prompt tokens that are cached or already prefilled. */
+	prefilledTokens: number;
+	generatedTokens: number;
+	/** Earliest monotonic time of the next token, in milliseconds. */
 	nextTokenAt: number;
-	first: number;
+	/** Tokens that the continued answer already has; numbering goes on from there. */
+	continuedTokens: number;
 	events: string[];
 	readers: Set<ServerResponse>;
 	isRunning: boolean;
 	isDone: boolean;
+	/** Order of arrival, which breaks ties of priority. */
 	order: number;
 };
 
-/** A published cache event. */
+/** A cache event, visible from `publishedAt` on (monotonic milliseconds). */
 type CacheEvent = {sequence: number; block: string; kind: 'stored' | 'removed'; publishedAt: number};
 
 type EngineBody = {
@@ -105,19 +104,19 @@
 const defaultOutput = 16;
 const bodyLimit = 128 * 1_048_576;
 
-/** Finished requests kept for a resume. */
-const mostKept = 1000;
+/** Requests kept before finished ones, which could still be resumed, are removed. */
+const maxFinishedRequests = 1000;
 
-/** A stand-in engine. */
+/** A simulated inference engine on a loopback port. */
 export class StandinEngine {
 	faults: EngineFaults = {};
-	/** Requests taken in all. */
+	/** Total number of accepted requests. */
 	taken = 0;
-	/** Requests refused by the `refuse` fault. */
+	/** Number of requests rejected by the `refuse` fault. */
 	refused = 0;
-	/** Added to every token's text, so that an answer is long in bytes. */
+	/** Appended to the text of every token, to make answers large in bytes. */
 	padding = '';
-	/** Ids of the requests whose work was cancelled. */
+	/** Ids of the requests cancelled before they finished. */
 	readonly cancelled: string[] = [];
 	readonly #options: StandinEngineOptions;
 	readonly #app: FastifyInstance = fastify({bodyLimit, forceCloseConnections: true, keepAliveTimeout: 60_000});
@@ -138,27 +137,27 @@
 		this.#addRoutes();
 	}
 
-	/** Tokens of memory held by requests. */
+	/** Memory reserved by waiting and running requests, in tokens. */
 	get heldTokens(): number {
 		return this.#listHeld().reduce((sum, request) => sum + countTokens(request), 0);
 	}
 
-	/** Bytes of answers written and not yet taken by the network: what slow readers hold up. */
+	/** Bytes of answers still buffered because their readers are slow. */
 	get unsentBytes(): number {
 		return this.#listHeld().flatMap(request => [...request.readers]).reduce((sum, reader) => sum + reader.writableLength, 0);
 	}
 
-	/** Ids of the requests held, waiting or running. */
+	/** Ids of the waiting and running requests. */
 	get heldRequests(): string[] {
 		return this.#listHeld().map(request => request.id);
 	}
 
-	/** Opens the stand-in on a port, 0 for a free one; returns its base URL. */
+	/** Listens on a loopback port (0 picks a free one) and returns the base URL. */
 	async start(port = 0): Promise<string> {
 		return this.#app.listen({port, host: '127.0.0.1'});
 	}
 
-	/** Closes the stand-in and every connection at once, as a killed process would. */
+	/** Stops listening and drops every connection, as a killed process would. */
 	async stop(): Promise<void> {
 		this.#isClosed = true;
 		for (const request of this.#requests.values()) {
@@ -179,7 +178,7 @@
 				}
 
 				const id = String(request.headers['x-request-id']);
-				const taken = this.#take(id, path.includes('chat'), JSON.parse(String(request.body)) as EngineBody);
+				const taken = this.#acceptRequest(id, path.includes('chat'), JSON.parse(String(request.body)) as EngineBody);
 				if (taken === undefined) {
 					return reply.code(400).send({error: {message: 'the prompt is longer than the memory of this engine'}});
 				}
@@ -227,7 +226,7 @@
 		return [...this.#requests.values()].filter(request => !request.isDone);
 	}
 
-	#take(id: string, isChat: boolean, body: EngineBody): EngineRequest | undefined {
+	#acceptRequest(id: string, isChat: boolean, body: EngineBody): EngineRequest | undefined {
 		const known = this.#requests.get(id);
 		if (known !== undefined) {
 			return known;
@@ -245,10 +244,10 @@
 			outputTokens: body.max_completion_tokens ?? body.max_tokens ?? defaultOutput,
 			choices: body.n ?? 1,
 			wantsUsage: body.stream_options?.include_usage ?? false,
-			read: 0,
-			made: 0,
+			prefilledTokens: 0,
+			generatedTokens: 0,
 			nextTokenAt: 0,
-			first: countContinued(body),
+			continuedTokens: countContinued(body),
 			events: [],
 			readers: new Set(),
 			isRunning: false,
@@ -260,14 +259,14 @@
 		}
 
 		this.taken++;
-		request.read = request.cachedTokens;
+		request.prefilledTokens = request.cachedTokens;
 		this.#requests.set(id, request);
-		this.#forgetOld();
+		this.#removeFinished();
 		void this.#step();
 		return request;
 	}
 
-	/** Finds how much of a prompt is cached and stores the rest; returns cached tokens. */
+	/** Looks up the cached prefix of a prompt, caches the remaining blocks, and returns the number of cached tokens. */
 	#useCache(text: string): number {
 		const blockBytes = blockTokens * bytesPerToken;
 		const hash = createHash('sha256');
@@ -308,16 +307,16 @@
 		while (!this.#isClosed && this.#listHeld().length > 0) {
 			await waitFor(this.#options.clock, this.#options.stepMilliseconds);
 			this.#admitWaiting();
-			this.#readPrompts();
+			this.#prefillPrompts();
 			const now = this.#now();
 			for (const request of this.#listHeld()) {
-				if (request.isRunning && request.read >= request.promptTokens && request.nextTokenAt <= now && !this.faults.hang) {
+				if (request.isRunning && request.prefilledTokens >= request.promptTokens && request.nextTokenAt <= now && !this.faults.hang) {
 					request.nextTokenAt = now + this.#options.tokenInterval;
-					this.#makeToken(request);
+					this.#generateToken(request);
 				}
 			}
 
-			this.#noteLoad();
+			this.#recordLoad();
 		}
 
 		this.#isStepping = false;
@@ -334,18 +333,18 @@
 		}
 	}
 
-	#readPrompts(): void {
+	#prefillPrompts(): void {
 		let budget = this.#options.prefillRate * this.#options.stepMilliseconds / 1000;
 		for (const request of this.#listHeld().filter(held => held.isRunning).sort(compareRequests)) {
-			const read = Math.min(budget, request.promptTokens - request.read);
-			request.read += read;
-			budget -= read;
+			const tokens = Math.min(budget, request.promptTokens - request.prefilledTokens);
+			request.prefilledTokens += tokens;
+			budget -= tokens;
 		}
 	}
 
-	#makeToken(request: EngineRequest): void {
-		request.made++;
-		const isLast = request.made >= request.outputTokens;
+	#generateToken(request: EngineRequest): void {
+		request.generatedTokens++;
+		const isLast = request.generatedTokens >= request.outputTokens;
 		for (let index = 0; index < request.choices; index++) {
 			this.#emit(request, JSON.stringify(this.#formatChunk(request, index, isLast)));
 		}
@@ -360,8 +359,8 @@
 				choices: [],
 				usage: {
 					prompt_tokens: request.promptTokens,
-					completion_tokens: request.made,
-					total_tokens: request.promptTokens + request.made,
+					completion_tokens: request.generatedTokens,
+					total_tokens: request.promptTokens + request.generatedTokens,
 					prompt_tokens_details: {cached_tokens: request.cachedTokens},
 				},
 			}));
@@ -372,10 +371,10 @@
 	}
 
 	#formatChunk(request: EngineRequest, index: number, isLast: boolean): Record<string, unknown> {
-		const text = `t${request.first + request.made} ${this.padding}`;
+		const text = `t${request.continuedTokens + request.generatedTokens} ${this.padding}`;
 		const finishReason = isLast ? 'length' : null;
 		return request.isChat
-			? {...formatHead(request), choices: [{index, delta: request.made === 1 ? {role: 'assistant', content: text} : {content: text}, finish_reason: finishReason}]}
+			? {...formatHead(request), choices: [{index, delta: request.generatedTokens === 1 ? {role: 'assistant', content: text} : {content: text}, finish_reason: finishReason}]}
 			: {...formatHead(request), choices: [{index, text, finish_reason: finishReason}]};
 	}
 
@@ -454,7 +453,7 @@
 		return true;
 	}
 
-	#noteLoad(): void {
+	#recordLoad(): void {
 		this.#loadHistory.push({at: this.#now(), held: this.heldTokens, waiting: this.#listHeld().filter(request => !request.isRunning).length});
 		while (this.#loadHistory.length > 1 && this.#loadHistory[1].at <= this.#now() - this.#options.loadLag) {
 			this.#loadHistory.shift();
@@ -468,9 +467,9 @@
 		};
 	}
 
-	#forgetOld(): void {
+	#removeFinished(): void {
 		for (const [id, request] of this.#requests) {
-			if (this.#requests.size <= mostKept) {
+			if (this.#requests.size <= maxFinishedRequests) {
 				return;
 			}
 
@@ -498,7 +497,7 @@
 	};
 }
 
-/** The tokens that a continued answer already has, so that the text goes on counting. */
+/** Number of the last token in the prompt, so that a continued answer goes on from it; 0 for a new answer. */
 function countContinued(body: EngineBody): number {
 	const last = body.messages?.at(-1)?.content ?? body.prompt;
 	const match = typeof last === 'string' ? /t(?<count>\d+) $/.exec(last) : undefined;
--- a/src/standin/standin-fleet.ts
+++ b/src/standin/standin-fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet of stand-ins in one process, with nodes before them: for `cresshook dev`, tests and benches. */
+/** Runs nodes and all simulated services in one process, for `cresshook dev`, tests and benchmarks. */
 import {
 	createSilentLogger, hashSecret, randomIdSource, SilentMetrics, type Clock, type IdSource, type Logger, type Metrics,
 } from '../common/index.js';
@@ -10,7 +10,7 @@
 import {StandinPlain} from './standin-plain.js';
 import {StandinPlatform} from './standin-platform.js';
 
-/** How the fleet is made. */
+/** Size of a stand-in fleet, and its dependencies. */
 export type StandinFleetOptions = {
 	clock: Clock;
 	/** Uniform random numbers from 0 up to 1. */
@@ -19,26 +19,26 @@
 	logger?: Logger;
 	metrics?: Metrics;
 	/**
-	 * Engines of the service `bollettino-llm`.
+	 * Number of engines of the service `bollettino-llm`.
 	 *
 	 * @default 3
 	 */
 	engines?: number;
 	/**
-	 * Nodes.
+	 * Number of gateway nodes.
 	 *
 	 * @default 2
 	 */
 	nodes?: number;
 	engineOptions?: Partial<StandinEngineOptions>;
-	/** Changes to the spec of the service `bollettino-llm`. */
+	/** Overrides in the spec of the service `bollettino-llm`. */
 	service?: Record<string, unknown>;
-	/** Changes to the settings of each node. */
+	/** Modifies the settings of each node before it starts. */
 	adjust?: (settings: Settings) => void;
 	/**
-	 * Port of the first node's callers; the next nodes take the next ones.
+	 * Caller port of the first node; further nodes use the ports that follow.
 	 *
-	 * @default 0, free ones
+	 * @default 0 (free ports)
 	 */
 	firstPort?: number;
 };
@@ -57,7 +57,7 @@
 	secret: 'a-secret-shared-by-all-nodes',
 } as const;
 
-/** A running fleet. */
+/** Gateway nodes, engines, a plain service and a platform in one process. */
 export class StandinFleet {
 	readonly platform: StandinPlatform;
 	readonly plain: StandinPlain;
@@ -76,7 +76,7 @@
 		this.plain = new StandinPlain(options.clock);
 	}
 
-	/** Starts the stand-ins, writes the objects they need, and starts the nodes. */
+	/** Starts the simulated services, stores the platform objects, and starts the nodes. */
 	async start(): Promise<void> {
 		this.platformUrl = await this.platform.start();
 		this.plainUrl = await this.plain.start();
@@ -110,7 +110,7 @@
 		return engine;
 	}
 
-	/** Starts a node; by default on a box of its own. */
+	/** Starts a node, by default on a new box. */
 	async addNode(box = `box-${this.nodes.length + 1}`): Promise<Node> {
 		const {clock, random} = this.#options;
 		const settings = this.#createSettings(box, this.nodes.length);
@@ -131,13 +131,13 @@
 		return node;
 	}
 
-	/** Ends a node as a killed process would: nothing of it reaches anyone any more. */
+	/** Stops a node abruptly, as a killed process: it sends nothing more to peers, callers or servers. */
 	async killNode(node: Node): Promise<void> {
 		this.#running.delete(node);
 		await node.crash();
 	}
 
-	/** Stops everything at once. */
+	/** Stops all nodes abruptly, then the simulated services. */
 	async stop(): Promise<void> {
 		await Promise.all([...this.#running].map(async node => node.crash()));
 		await Promise.all([...this.engines.map(async engine => engine.stop()), this.plain.stop(), this.platform.stop()]);
--- a/src/standin/standin-plain.ts
+++ b/src/standin/standin-plain.ts
@@ -1,21 +1,21 @@
-/** A small stand-in for a plain service: it counts how often each call ran. */
+/** Simulates a plain HTTP service and counts the executions of each call. */
 import {fastify, type FastifyInstance} from 'fastify';
 import {waitFor, type Clock} from '../common/index.js';
 
-/** Faults that tests switch on. */
+/** Injected faults; each is off when absent. */
 export type PlainFaults = {
-	/** Run this many of the next calls and lose their replies. */
+	/** Number of next calls that are executed and whose connection is closed without a reply. */
 	loseReplies?: number;
-	/** Milliseconds a call takes. */
+	/** Time that a call takes, in milliseconds. */
 	delay?: number;
-	/** Answer with another request's id, once. */
+	/** Reply with the id of another request, once. */
 	cross?: boolean;
 };
 
-/** A stand-in plain service. */
+/** A simulated plain service on a loopback port. */
 export class StandinPlain {
 	faults: PlainFaults = {};
-	/** Runs by idempotency key, or by path for calls without one. */
+	/** Executions by idempotency key, or by URL path for calls without a key. */
 	readonly runs = new Map<string, number>();
 	readonly #app: FastifyInstance = fastify({forceCloseConnections: true, keepAliveTimeout: 60_000});
 	readonly #clock: Clock;
@@ -45,17 +45,17 @@
 		});
 	}
 
-	/** How often a call ran. */
+	/** Number of executions of a call. */
 	countRuns(key: string): number {
 		return this.runs.get(key) ?? 0;
 	}
 
-	/** Opens the stand-in on a port, 0 for a free one; returns its base URL. */
+	/** Listens on a loopback port (0 picks a free one) and returns the base URL. */
 	async start(port = 0): Promise<string> {
 		return this.#app.listen({port, host: '127.0.0.1'});
 	}
 
-	/** Closes the stand-in and every connection. */
+	/** Stops listening and closes every connection. */
 	async stop(): Promise<void> {
 		await this.#app.close();
 	}
--- a/src/standin/standin-platform.ts
+++ b/src/standin/standin-platform.ts
@@ -1,16 +1,16 @@
-/** A small stand-in for the platform's object API: versions, conditional updates, paged lists, watches. */
+/** Simulates the platform's object API: resource versions, conditional updates, paged lists and watches. */
 import type {ServerResponse} from 'node:http';
 import {fastify, type FastifyInstance, type FastifyReply} from 'fastify';
 import type {Clock} from '../common/index.js';
 import type {PlatformObjectInput} from '../store/index.js';
 
-/** Faults that tests switch on. */
+/** Injected faults; each is off when absent. */
 export type PlatformFaults = {
-	/** Answer nothing: every connection is closed. */
+	/** Close every connection without a reply. */
 	down?: boolean;
-	/** Carry out this many of the next writes and lose their replies. */
+	/** Number of next writes that are stored and whose connection is closed without a reply. */
 	loseReplies?: number;
-	/** End every watch as expired, once. */
+	/** Reject the next watch as expired (410). */
 	expireWatches?: boolean;
 };
 
@@ -19,12 +19,13 @@
 
 const basePath = '/apis/cresshook.dev/v1/objects';
 const bookmarkInterval = 5000;
-const mostHistory = 10_000;
+/** Changes kept for watches; a watch from an older version is rejected as expired. */
+const maxHistory = 10_000;
 
-/** A stand-in platform. */
+/** A simulated platform API on a loopback port. */
 export class StandinPlatform {
 	faults: PlatformFaults = {};
-	/** Calls counted as the platform does. */
+	/** Calls so far; a list, a get and the start of a watch each count as one read. */
 	readonly calls = {reads: 0, writes: 0};
 	readonly #app: FastifyInstance = fastify({forceCloseConnections: true, keepAliveTimeout: 60_000});
 	readonly #clock: Clock;
@@ -39,20 +40,20 @@
 		this.#addRoutes();
 	}
 
-	/** Opens the stand-in on a port, 0 for a free one; returns its base URL. */
+	/** Listens on a loopback port (0 picks a free one) and returns the base URL. */
 	async start(port = 0): Promise<string> {
 		this.#scheduleBookmark();
 		return this.#app.listen({port, host: '127.0.0.1'});
 	}
 
-	/** Closes the stand-in. */
+	/** Stops listening and closes every watch and connection. */
 	async stop(): Promise<void> {
 		this.#bookmarkTimer?.cancel();
 		this.cutWatches();
 		await this.#app.close();
 	}
 
-	/** Breaks every open watch. */
+	/** Drops the connection of every open watch. */
 	cutWatches(): void {
 		for (const watch of this.#watches) {
 			watch.destroy();
@@ -61,13 +62,13 @@
 		this.#watches.clear();
 	}
 
-	/** Stores an object whatever its version, as another writer would. */
+	/** Stores an object without a version check, to simulate another writer. */
 	putObject(object: PlatformObjectInput): void {
 		const key = `${object.kind}/${object.metadata.name}`;
 		this.#store(key, object);
 	}
 
-	/** Deletes an object, as another writer would. */
+	/** Deletes an object, to simulate another writer. */
 	deleteObject(kind: string, name: string): void {
 		const object = this.#objects.get(`${kind}/${name}`);
 		if (object !== undefined) {
@@ -76,7 +77,7 @@
 		}
 	}
 
-	/** Reads what is stored. */
+	/** Returns the stored object, or undefined if there is none. */
 	findObject(kind: string, name: string): PlatformObjectInput | undefined {
 		return this.#objects.get(`${kind}/${name}`) as PlatformObjectInput | undefined;
 	}
@@ -129,7 +130,7 @@
 
 	#publish(change: Change): void {
 		this.#history.push(change);
-		if (this.#history.length > mostHistory) {
+		if (this.#history.length > maxHistory) {
 			this.#history.shift();
 		}
 
@@ -138,7 +139,7 @@
 		}
 	}
 
-	/** Pages by key, all of one version only while nothing is written between: enough for a stand-in. */
+	/** Pages by key. The pages of a list are consistent only if nothing is written between them. */
 	#list(limit: number, after: string): unknown {
 		const keys = [...this.#objects.keys()].sort().filter(key => key > after);
 		const page = keys.slice(0, limit);
--- a/test/standins.test.ts
+++ b/test/standins.test.ts
@@ -1,4 +1,4 @@
-/** The stand-ins keep the contract that nodes are built against. */
+/** Checks that the simulated services follow the API contracts that nodes rely on. */
 import {
 	afterEach, beforeEach, expect, test,
 } from '@jest/globals';
@@ -17,43 +17,43 @@
 	await fleet.stop();
 });
 
-async function read(path: string): Promise<Record<string, unknown>> {
+async function readJson(path: string): Promise<Record<string, unknown>> {
 	const answer = await fleet.settle(call(`${engineUrl}${path}`, {method: 'GET'}));
 	return JSON.parse(answer.text) as Record<string, unknown>;
 }
 
-async function order(fence: number): Promise<number> {
+async function sendOrder(fence: number): Promise<number> {
 	const answer = await fleet.settle(call(`${engineUrl}/v1/orders`, {body: {fence}}));
 	return answer.status;
 }
 
-test('an engine that checks fences refuses an order with a lower one', async () => {
-	expect([await order(3), await order(2), await order(3), await order(4)]).toEqual([200, 409, 200, 200]);
+test('an engine that checks fences rejects an order with a lower fence', async () => {
+	expect([await sendOrder(3), await sendOrder(2), await sendOrder(3), await sendOrder(4)]).toEqual([200, 409, 200, 200]);
 });
 
-test('cache events come late, and with gaps where that fault is on', async () => {
+test('cache events are delayed, and the cacheGaps fault drops some', async () => {
 	const messages = [{role: 'user', content: 'x'.repeat(5000)}];
 	fleet.engines[0].faults = {cacheGaps: true};
 	const answer = chat(fleet.nodes[0].callerUrl, {messages, max_tokens: 1});
 	await fleet.until(() => fleet.engines[0].taken === 1);
-	expect(await read('/v1/cache/events')).toEqual({events: []});
+	expect(await readJson('/v1/cache/events')).toEqual({events: []});
 	await fleet.settle(answer);
 	await fleet.pass(250);
-	const {events} = await read('/v1/cache/events') as {events: Array<{sequence: number}>};
+	const {events} = await readJson('/v1/cache/events') as {events: Array<{sequence: number}>};
 	expect(events.length).toBeGreaterThan(0);
 	expect(events.every(event => event.sequence % 2 === 1)).toBe(true);
 });
 
-test('reported load lags', async () => {
+test('reported load is delayed', async () => {
 	const answer = chat(fleet.nodes[0].callerUrl, {max_tokens: 1000}, {'x-time-bound-ms': '2000'});
 	await fleet.until(() => fleet.engines[0].heldTokens > 0);
-	expect(await read('/v1/load')).toMatchObject({heldTokens: 0});
+	expect(await readJson('/v1/load')).toMatchObject({heldTokens: 0});
 	await fleet.pass(1000);
-	expect(((await read('/v1/load')) as {heldTokens: number}).heldTokens).toBeGreaterThan(1000);
+	expect(((await readJson('/v1/load')) as {heldTokens: number}).heldTokens).toBeGreaterThan(1000);
 	await fleet.settle(answer);
 });
 
-test('a shared prefix is read once', async () => {
+test('a shared prefix is prefilled once', async () => {
 	const messages = [{role: 'system', content: 'x'.repeat(8000)}, {role: 'user', content: 'tile 1'}];
 	const cached = async () => {
 		const answer = await fleet.settle(chat(fleet.nodes[0].callerUrl, {messages, max_tokens: 1}));
@@ -64,7 +64,7 @@
 	expect(await cached()).toBeGreaterThan(1500);
 });
 
-test('a watch from a version that is too old is told to list again, and the node does', async () => {
+test('a node lists again after its watch is rejected as expired', async () => {
 	const before = fleet.platform.calls.reads;
 	fleet.platform.faults = {expireWatches: true};
 	fleet.platform.cutWatches();
