--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the slopes from which docs/CAPACITY.md works out a node at the size
- * two years on: each quantity at four sizes or more, with a least-squares fit.
+ * Measures how memory, time and traffic of a node grow, with a least-squares fit over four sizes or more.
+ * docs/CAPACITY.md extrapolates from the slopes to the size expected in two years.
  */
 import process from 'node:process';
 import {performance} from 'node:perf_hooks';
@@ -68,7 +68,7 @@
 	report('release and serve the queue, us p99, by waiting', [0, 250, 500, 1000, 2000].map((waiting): Point => [waiting, quantile(timeReleases(64, waiting), 0.99)]));
 }
 
-/** Bytes on the wire of each kind of message, both ways, headers included. */
+/** Measures the bytes per call of each kind of message, in both directions and with headers. */
 async function measureMessages(): Promise<void> {
 	const fleet = new StandinFleet({clock: systemClock, random: Math.random, nodes: 2});
 	await fleet.start();
@@ -115,7 +115,7 @@
 	return {view, bytes: process.memoryUsage().heapUsed - before, milliseconds};
 }
 
-/** In a function of its own, so that its frame does not keep the list alive when memory is measured. */
+/** A separate function, so that no stack frame keeps the list alive while memory is measured. */
 function applyText(view: FleetView, text: string): void {
 	const objects = (JSON.parse(text) as unknown[]).map(object => platformObjectSchema.parse(object));
 	view.applyList({objects, resourceVersion: objects.length});
@@ -137,7 +137,7 @@
 	return (performance.now() - start) / count;
 }
 
-/** A pool with room on every engine, and requests that wait since none has as much as they need. */
+/** Builds a pool with free memory on every engine, but on none enough for the waiting requests. */
 function buildPool(engines: number, waiting: number): {dispatcher: Dispatcher; clock: VirtualClock} {
 	const clock = new VirtualClock();
 	const dispatcher = new Dispatcher({
--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -1,9 +1,9 @@
 /**
- * Measures what a decision of the routed path costs its node: processor time of a short and of a long prompt's
- * decision, by servers, while each server holds two answers that are written.
+ * Measures the time of one scheduling decision on the routed path, for a short and a long prompt and by number of
+ * servers, with two running requests per server.
  *
- * Two runs on eight cores beside a bench: short 0.013, 0.025 to 0.043 and 0.154 to 0.179 ms at 60, 150 and 600 servers,
- * long 0.28 to 0.40, 0.50 to 0.55 and 0.39 to 0.43 ms (p50).
+ * Reference (p50, two runs on eight cores, another benchmark running): short 0.013, 0.025 to 0.043 and 0.154 to 0.179 ms
+ * at 60, 150 and 600 servers, long 0.28 to 0.40, 0.50 to 0.55 and 0.39 to 0.43 ms.
  */
 import process from 'node:process';
 import {performance} from 'node:perf_hooks';
@@ -17,7 +17,7 @@
 
 const service = 'model' as ServiceName;
 const rounds = 400;
-const warmUps = 200;
+const warmupRounds = 200;
 
 function main(): void {
 	const {engine} = workloads.find(workload => workload.name === 'large')!;
@@ -39,26 +39,26 @@
 
 		const now = count * 2;
 		const short = timeDecisions(planner, 5000, now);
-		const long = timeDecisions(planner, 220_000, now + rounds + warmUps);
+		const long = timeDecisions(planner, 220_000, now + rounds + warmupRounds);
 		process.stdout.write(`${count} servers: short ${formatTimes(short)}, long ${formatTimes(long)}\n`);
 	}
 }
 
-/** Times decisions whose plans end at once, in milliseconds; one a millisecond. */
+/** Times one decision per simulated millisecond, and ends each plan immediately; returns milliseconds. */
 function timeDecisions(planner: Planner, promptTokens: number, from: number): number[] {
-	return Array.from({length: rounds + warmUps}, (_, index) => {
+	return Array.from({length: rounds + warmupRounds}, (_, index) => {
 		const now = from + index;
 		const request = describeRequest(promptTokens, `asked-${now}`);
 		const started = performance.now();
 		const decided = planner.decide(request, now);
-		const took = performance.now() - started;
+		const elapsed = performance.now() - started;
 		decided.ifRight(decision => {
 			if (decision.kind === 'plan') {
 				planner.recordEvent({planId: decision.plan.planId, kind: 'ended'}, now);
 			}
 		});
-		return took;
-	}).slice(warmUps);
+		return elapsed;
+	}).slice(warmupRounds);
 }
 
 function describeRequest(promptTokens: number, id: string): PlanRequest {
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,52 +1,52 @@
-/** Streams completions and takes their times. */
+/** Sends streaming completion requests and measures their latencies. */
 import {performance} from 'node:perf_hooks';
 import {quantile} from 'simple-statistics';
 import {Agent, request} from 'undici';
 import {systemClock, waitFor} from '../src/common/index.js';
 
-/** Times of one stream, in milliseconds. */
+/** Time to first token and total time of a stream in milliseconds, and its number of tokens. */
 export type StreamTimes = {
 	firstToken: number;
 	total: number;
 	tokens: number;
 };
 
-/** What to send. */
+/** Size and target of a load. */
 export type LoadOptions = {
 	url: string;
 	key: string;
-	/** Streams at once. */
+	/** Number of concurrent streams. */
 	streams: number;
-	/** Requests in all. */
+	/** Total number of requests. */
 	requests: number;
-	/** Tokens of each answer. */
+	/** Output tokens per request. */
 	tokens: number;
-	/** Bytes of each prompt. */
+	/** Prompt size in bytes. */
 	promptBytes: number;
-	/** Milliseconds over which the streams begin. */
-	spread?: number;
+	/** Period over which the streams start, in milliseconds; 0 starts all at once. */
+	rampUp?: number;
 };
 
-/** Keeps a number of streams going until all requests have been sent; returns the times of each. */
+/** Keeps the given number of streams running until all requests are done; returns the latencies of each request. */
 export async function runLoad(options: LoadOptions): Promise<StreamTimes[]> {
 	const agent = new Agent({connections: options.streams, pipelining: 1});
 	const times: StreamTimes[] = [];
-	let left = options.requests;
-	// Streams begin one after another: callers do not keep step, and in step they would wait for each other.
-	const work = async (index: number) => {
-		await waitFor(systemClock, (options.spread ?? 0) * index / options.streams);
-		while (left > 0) {
-			left--;
+	let remaining = options.requests;
+	// Starts are staggered: real callers are not synchronised, and synchronised streams would delay each other.
+	const runWorker = async (index: number) => {
+		await waitFor(systemClock, (options.rampUp ?? 0) * index / options.streams);
+		while (remaining > 0) {
+			remaining--;
 			times.push(await streamOnce(options, agent));
 		}
 	};
 
-	await Promise.all(Array.from({length: options.streams}, async (_, index) => work(index)));
+	await Promise.all(Array.from({length: options.streams}, async (_, index) => runWorker(index)));
 	await agent.close();
 	return times;
 }
 
-/** Formats the 50th, 95th and 99th percentile. */
+/** Formats the 50th, 95th and 99th percentiles. */
 export function formatPercentiles(values: number[], digits = 2): string {
 	return [0.5, 0.95, 0.99].map(share => quantile(values, share).toFixed(digits)).join(' / ');
 }
--- a/bench/moves.ts
+++ b/bench/moves.ts
@@ -1,11 +1,11 @@
 /**
- * Measures what a burst of moves costs the node that decides: twenty streams of a server that died ask at once for
- * another place and a try each, before 20 and 150 servers that write four streams each.
+ * Measures the CPU time that a burst of moves costs the scheduling node: 20 streams of a failed server each request
+ * a new placement and a retry at once, with 20 and with 150 servers that run four streams each.
  *
- * The node is the gateway's bundle under the flags of the deploy file, a process of its own.
+ * The node is a separate process that runs the gateway bundle with the Node.js flags of the deploy file.
  *
- * On eight cores beside large days of a bench, three runs each: 52 to 58 ms of processor time a burst before 20 servers, and 54 to 56 ms before
- * 150; 77 to 86 ms before 150 while each decision looked through all plans and all work. Answers p99 52 to 82 ms.
+ * Reference (eight cores, other benchmarks running, three runs): 52 to 58 ms of CPU time per burst with 20 servers, 54 to 56 ms with 150;
+ * answers p99 52 to 82 ms. A scan of all plans and work in each decision costs 77 to 86 ms per burst with 150 servers.
  */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
@@ -19,20 +19,20 @@
 import {StandinStore} from '../test/helpers/platform-standins.js';
 import {BenchProcesses, readProcessorSeconds} from './processes.js';
 
-/** Moves of one burst, bursts, and the time between them in milliseconds. */
-const movesAtOnce = 20;
+/** Moves per burst, number of bursts, and the pause after each in milliseconds. */
+const movesPerBurst = 20;
 const burstCount = 50;
-const burstPause = 100;
+const burstInterval = 100;
 
-/** Servers of a small deployment and of the largest one known, and streams that each writes. */
+/** Servers of a small deployment and of the largest known one, and streams running on each. */
 const serverCounts = [20, 150];
 const streamsPerServer = 4;
 
-/** Time for one answer, in milliseconds: longer than any, so that all are seen. */
-const answerLimit = 2000;
+/** Timeout of a call in milliseconds, longer than any answer takes, so that slow answers are measured too. */
+const answerTimeout = 2000;
 
 const service = 'model' as ServiceName;
-const silent = 'i-0' as BackendServerId;
+const failedServer = 'i-0' as BackendServerId;
 
 function describeStream(id: string): PlanRequest {
 	return {
@@ -55,7 +55,7 @@
 	};
 }
 
-/** A node that decides alone, and those that ask it. */
+/** Runs a single scheduling node and sends it requests as its peers would. */
 class MovesBench {
 	readonly #clients = new PeerClients(systemClock);
 	readonly #store = new StandinStore();
@@ -71,9 +71,9 @@
 	async run(): Promise<void> {
 		try {
 			await this.#start();
-			await this.#hold();
-			await this.#play('warm-up');
-			const {times, processorTime} = await this.#play('measured');
+			await this.#placeStreams();
+			await this.#runBursts('warm-up');
+			const {times, processorTime} = await this.#runBursts('measured');
 			const [p50, p99] = [0.5, 0.99].map(share => quantile(times, share).toFixed(1));
 			process.stdout.write(`${this.#serverCount} servers: answers p50 ${p50} ms, p99 ${p99} ms; the deciding node's processor time ${processorTime.toFixed(1)} ms a burst\n`);
 		} finally {
@@ -101,43 +101,43 @@
 		this.#address = `127.0.0.1:${ports[3]}`;
 	}
 
-	/** Places the streams that are written; the node may know no server yet. */
-	async #hold(): Promise<void> {
+	/** Places the running streams, and retries until the node has received its server list. */
+	async #placeStreams(): Promise<void> {
 		for (let index = 0; index < this.#serverCount * streamsPerServer; index++) {
-			while (!await this.#ask(describeStream(`held-${index}`))) {
-				await pause(burstPause);
+			while (!await this.#requestPlacement(describeStream(`held-${index}`))) {
+				await delay(burstInterval);
 			}
 		}
 	}
 
-	async #play(name: string): Promise<{times: number[]; processorTime: number}> {
+	async #runBursts(name: string): Promise<{times: number[]; processorTime: number}> {
 		const times: number[] = [];
 		const before = readProcessorSeconds(this.#pid);
 		for (let burst = 0; burst < burstCount; burst++) {
-			times.push(...await Promise.all(Array.from({length: movesAtOnce}, async (_, index) => this.#move(`${name}-${burst}-${index}`))));
-			await pause(burstPause);
+			times.push(...await Promise.all(Array.from({length: movesPerBurst}, async (_, index) => this.#move(`${name}-${burst}-${index}`))));
+			await delay(burstInterval);
 		}
 
 		return {times, processorTime: (readProcessorSeconds(this.#pid) - before) * 1000 / burstCount};
 	}
 
-	/** A move as a node asks for it, and the time until its place is known, in milliseconds. */
+	/** Requests a move as a peer would; returns the time until the placement is known, in milliseconds. */
 	async #move(id: string): Promise<number> {
 		const request = {
-			...describeStream(id), waited: 0.1, objective: -1000, patience: 700, timeLeft: 500, hasBegun: true, excluded: [silent],
+			...describeStream(id), waited: 0.1, objective: -1000, patience: 700, timeLeft: 500, hasBegun: true, excluded: [failedServer],
 		};
 		const askedAt = performance.now();
-		await this.#ask(request);
-		const took = performance.now() - askedAt;
-		await this.#clients.ask(this.#address, answerLimit, async (client, signal) => client.grantRetry.mutate({
+		await this.#requestPlacement(request);
+		const elapsed = performance.now() - askedAt;
+		await this.#clients.ask(this.#address, answerTimeout, async (client, signal) => client.grantRetry.mutate({
 			requestId: request.requestId, service, node: request.node, promptTokens: request.promptTokens,
 		}, {signal}));
-		return took;
+		return elapsed;
 	}
 
-	/** Whether a place was granted. */
-	async #ask(request: PlanRequest): Promise<boolean> {
-		const answer = await this.#clients.ask(this.#address, answerLimit, async (client, signal) => client.decide.mutate(request, {signal}));
+	/** Requests a placement; returns whether it was granted. */
+	async #requestPlacement(request: PlanRequest): Promise<boolean> {
+		const answer = await this.#clients.ask(this.#address, answerTimeout, async (client, signal) => client.decide.mutate(request, {signal}));
 		return answer?.decision?.kind === 'plan';
 	}
 }
@@ -168,7 +168,7 @@
 `;
 }
 
-async function pause(time: number): Promise<void> {
+async function delay(time: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, time);
 	});
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what a node adds to the path: first token and total through cresshook
- * against straight to the same stand-in engine, in one run, as separate processes.
+ * Measures the latency that a node adds: time to first token and total time through cresshook,
+ * compared with direct requests to the same stand-in engine. All run as separate processes.
  */
 import process from 'node:process';
 import {quantile} from 'simple-statistics';
@@ -17,7 +17,7 @@
 const engineCount = 4;
 const promptBytes = 4000;
 
-/** Milliseconds between tokens: a little under the target's 32. */
+/** Time between tokens in milliseconds, a little under the 32 ms of the target. */
 const targetTokenInterval = 20;
 
 type NodeProcess = StartedProcess & {callers: string; operators: string};
@@ -26,14 +26,14 @@
 async function main(): Promise<void> {
 	const processes = new BenchProcesses();
 	try {
-		// Tokens at the target's pace: streams then differ by what the path adds, not by a loop that is full.
+		// At the target's token rate no event loop is saturated, so that the difference is the latency added by the node.
 		const paced = await startFleet(processes, targetTokenInterval);
 		await compareTimes(paced.engineUrl, paced.entry);
-		await measureProcessor(paced.entry);
+		await measureCpuUsage(paced.entry);
 		await measureControlBytes(paced.other);
 		await measureLongPrompt(paced.entry);
 		const fast = await startFleet(processes, 0);
-		await measureMost(fast.entry);
+		await measureThroughput(fast.entry);
 	} finally {
 		processes.stop();
 	}
@@ -75,39 +75,39 @@
 
 function describeLoad(url: string, streams: number, requests: number, tokens: number): LoadOptions {
 	return {
-		url, key, streams, requests, tokens, promptBytes, spread: tokens * targetTokenInterval,
+		url, key, streams, requests, tokens, promptBytes, rampUp: tokens * targetTokenInterval,
 	};
 }
 
-/** Straight and through in turns, so that drift of the machine touches both alike. */
+/** Alternates direct and proxied runs, so that drift of the machine affects both equally. */
 async function compareTimes(engineUrl: string, entry: NodeProcess): Promise<void> {
 	print('streams  path      first token ms p50/p95/p99      total ms p50/p95/p99');
 	for (const streams of [1, 32, 256]) {
 		const requests = Math.max(10, streams * 4);
 		await runLoad(describeLoad(entry.callers, streams, streams * 2, 8));
 		await runLoad(describeLoad(engineUrl, streams, streams * 2, 8));
-		const straight: StreamTimes[] = [];
-		const through: StreamTimes[] = [];
+		const direct: StreamTimes[] = [];
+		const proxied: StreamTimes[] = [];
 		for (let round = 0; round < 3; round++) {
-			straight.push(...await runLoad(describeLoad(engineUrl, streams, requests, 32)));
-			through.push(...await runLoad(describeLoad(entry.callers, streams, requests, 32)));
+			direct.push(...await runLoad(describeLoad(engineUrl, streams, requests, 32)));
+			proxied.push(...await runLoad(describeLoad(entry.callers, streams, requests, 32)));
 		}
 
-		for (const [name, times] of [['straight', straight], ['through', through]] as const) {
+		for (const [name, times] of [['straight', direct], ['through', proxied]] as const) {
 			const first = formatPercentiles(times.map(time => time.firstToken));
 			const total = formatPercentiles(times.map(time => time.total));
 			print(`${String(streams).padStart(7)}  ${name.padEnd(8)}  ${first.padEnd(30)}  ${total}`);
 		}
 
 		const added = [0.5, 0.95, 0.99].map(share =>
-			(quantile(through.map(time => time.firstToken), share) - quantile(straight.map(time => time.firstToken), share)).toFixed(2));
+			(quantile(proxied.map(time => time.firstToken), share) - quantile(direct.map(time => time.firstToken), share)).toFixed(2));
 		print(`${String(streams).padStart(7)}  added     ${added.join(' / ')}`);
 	}
 }
 
-async function measureMost(entry: NodeProcess): Promise<void> {
+async function measureThroughput(entry: NodeProcess): Promise<void> {
 	const start = performance.now();
-	const times = await runLoad({...describeLoad(entry.callers, 256, 3000, 16), spread: 0});
+	const times = await runLoad({...describeLoad(entry.callers, 256, 3000, 16), rampUp: 0});
 	const seconds = (performance.now() - start) / 1000;
 	const tokens = times.reduce((sum, time) => sum + time.tokens, 0);
 	print(`most one node carried at 256 streams: ${(times.length / seconds).toFixed(0)} requests/s, ${(tokens / seconds).toFixed(0)} tokens/s`);
@@ -125,11 +125,11 @@
 	const after = await readStatus(other);
 	const idleRate = (idle.controlBytes - before.controlBytes) / idleSeconds;
 	const seconds = (performance.now() - start) / 1000;
-	const each = (after.controlBytes - idle.controlBytes - (idleRate * seconds)) / requests;
-	print(`bytes between nodes: ${each.toFixed(0)} a request, ${idleRate.toFixed(0)} a second at rest with 2 nodes`);
+	const bytesPerRequest = (after.controlBytes - idle.controlBytes - (idleRate * seconds)) / requests;
+	print(`bytes between nodes: ${bytesPerRequest.toFixed(0)} a request, ${idleRate.toFixed(0)} a second at rest with 2 nodes`);
 }
 
-/** A million tokens through a node, and how long its loop was held: seen as the longest answer of another call meanwhile. */
+/** Sends prompts of a million tokens and measures how long they block the event loop, as the slowest concurrent small call. */
 async function measureLongPrompt(entry: NodeProcess): Promise<void> {
 	const delays: number[] = [];
 	const done = new AbortController();
@@ -149,7 +149,7 @@
 	print(`prompts of 4.2 MB: another call waited at most ${Math.max(...delays).toFixed(1)} ms`);
 }
 
-async function measureProcessor(entry: NodeProcess): Promise<void> {
+async function measureCpuUsage(entry: NodeProcess): Promise<void> {
 	await runLoad(describeLoad(entry.callers, 25, 50, 50));
 	const used = readProcessorSeconds(entry.pid);
 	const start = performance.now();
--- a/bench/processes.ts
+++ b/bench/processes.ts
@@ -1,4 +1,4 @@
-/** Starts the programs that a bench measures, as processes of their own on loopback. */
+/** Starts the programs under measurement as separate processes on loopback. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {
 	mkdtempSync, readFileSync, rmSync, writeFileSync,
@@ -10,28 +10,29 @@
 import {hashSecret} from '../src/common/index.js';
 
 const program = 'dist/cresshook.cjs';
+/** Unit of CPU time in `/proc/PID/stat` (USER_HZ). */
 const ticksPerSecond = 100;
 
-/** A program that was started. */
+/** A started child process. */
 export type StartedProcess = {
 	child: ChildProcess;
 	pid: number;
 };
 
-/** Starts and stops the processes of one bench. */
+/** Starts and stops the processes of one benchmark. */
 export class BenchProcesses {
 	readonly #started: ChildProcess[] = [];
 	readonly #folder = mkdtempSync(path.join(tmpdir(), 'cresshook-bench-'));
 
-	/** Starts a stand-in and returns its address. */
-	async startStandin(...words: string[]): Promise<StartedProcess & {url: string}> {
-		const started = this.start(['standin', ...words]);
+	/** Starts a simulated service and returns its base URL. */
+	async startStandin(...args: string[]): Promise<StartedProcess & {url: string}> {
+		const started = this.start(['standin', ...args]);
 		const line = await readLine(started.child, text => text.includes('"url"'));
 		return {...started, url: (JSON.parse(line) as {url: string}).url};
 	}
 
-	/** Starts a node and returns its addresses once it listens. */
-	async startNode(box: string, platformUrl: string, more = ''): Promise<StartedProcess & {callers: string; operators: string}> {
+	/** Starts a node and returns its base URLs once it is ready. */
+	async startNode(box: string, platformUrl: string, extraSettings = ''): Promise<StartedProcess & {callers: string; operators: string}> {
 		const file = this.writeFile(`${box}.toml`, `
 			box = "${box}"
 			region = "sic-east"
@@ -40,7 +41,7 @@
 			operators = {host = "127.0.0.1", teams = [{partner = "meteotessera", token_hash = "${hashSecret('bench')}"}]}
 			nodes = {host = "127.0.0.1", secret = "a-secret-of-the-bench"}
 			platform = {url = "${platformUrl}"}
-			${more}
+			${extraSettings}
 		`);
 		const started = this.start(['node', '--settings', file]);
 		const line = await readLine(started.child, text => text.includes('node_listening'));
@@ -49,26 +50,26 @@
 		return {...started, ...JSON.parse(line) as {callers: string; operators: string}};
 	}
 
-	/** Starts the program with words. */
-	start(words: string[]): StartedProcess {
-		return this.startProgram([program, ...words]);
+	/** Starts the built command-line program with arguments. */
+	start(args: string[]): StartedProcess {
+		return this.startProgram([program, ...args]);
 	}
 
-	/** Starts a program of Node.js: its flags, its file and its words. */
-	startProgram(words: string[]): StartedProcess {
-		const child = spawn(process.execPath, words, {stdio: ['ignore', 'pipe', 'inherit']});
+	/** Starts Node.js with its flags, the script and the arguments of the script. */
+	startProgram(args: string[]): StartedProcess {
+		const child = spawn(process.execPath, args, {stdio: ['ignore', 'pipe', 'inherit']});
 		this.#started.push(child);
 		return {child, pid: child.pid!};
 	}
 
-	/** Writes a file that lasts as long as the bench. */
+	/** Writes a temporary file, which `stop` removes. */
 	writeFile(name: string, text: string): string {
 		const file = path.join(this.#folder, name);
 		writeFileSync(file, text);
 		return file;
 	}
 
-	/** Ends everything. */
+	/** Kills all processes and removes the temporary files. */
 	stop(): void {
 		for (const child of this.#started) {
 			child.kill('SIGKILL');
@@ -78,7 +79,7 @@
 	}
 }
 
-/** Processor seconds a process has used. */
+/** CPU time used by a process so far, in seconds. */
 export function readProcessorSeconds(pid: number): number {
 	const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1].split(' ');
 	return (Number(fields[11]) + Number(fields[12])) / ticksPerSecond;
--- a/bench/recovery.ts
+++ b/bench/recovery.ts
@@ -1,7 +1,6 @@
 /**
- * Brings failures about with real processes on loopback and takes the times:
- * a dispatcher killed, a node stopped as planned under load, an engine killed,
- * a node frozen, and what became of every request meanwhile.
+ * Measures recovery with real processes on loopback and counts failed requests:
+ * a dispatcher killed, stopped gracefully and frozen under load, and an entry node killed in mid-stream.
  */
 import process from 'node:process';
 import {performance} from 'node:perf_hooks';
@@ -15,28 +14,28 @@
 
 type NodeProcess = StartedProcess & {callers: string; operators: string};
 type Status = {pools: Array<{pool: string}>; readyNodes: string[]};
-type Tally = {whole: number; failed: Array<{at: number; what: string}>};
+type Tally = {succeeded: number; failed: Array<{at: number; reason: string}>};
 
 async function main(): Promise<void> {
 	const processes = new BenchProcesses();
 	try {
 		const fleet = await startFleet(processes);
-		await trial('dispatcher killed (SIGKILL)', fleet, async (dispatcher, others) => {
+		await runScenario('dispatcher killed (SIGKILL)', fleet, async (dispatcher, others) => {
 			process.kill(dispatcher.pid, 'SIGKILL');
 			return others;
 		});
-		await trial('dispatcher stopped as planned (SIGTERM)', await startFleet(processes), async (dispatcher, others) => {
+		await runScenario('dispatcher stopped as planned (SIGTERM)', await startFleet(processes), async (dispatcher, others) => {
 			process.kill(dispatcher.pid, 'SIGTERM');
 			return others;
 		});
-		await trial('dispatcher frozen for 8 s (SIGSTOP)', await startFleet(processes), async (dispatcher, others) => {
+		await runScenario('dispatcher frozen for 8 s (SIGSTOP)', await startFleet(processes), async (dispatcher, others) => {
 			process.kill(dispatcher.pid, 'SIGSTOP');
 			setTimeout(() => {
 				process.kill(dispatcher.pid, 'SIGCONT');
 			}, 8000);
 			return others;
 		});
-		await measureOrphan(await startFleet(processes));
+		await measureOrphanedRequest(await startFleet(processes));
 	} finally {
 		processes.stop();
 	}
@@ -87,19 +86,19 @@
 	return statuses.findIndex(status => status.pools.length > 0);
 }
 
-/** Sends a short request every 20 ms through the nodes that stay, breaks something after a second, and tells what became of them. */
-async function trial(name: string, fleet: Fleet, breakIt: (dispatcher: NodeProcess, others: NodeProcess[]) => Promise<NodeProcess[]>): Promise<void> {
+/** Sends a short request every 20 ms through the nodes that keep running, injects a failure after a second, and prints the outcomes. */
+async function runScenario(name: string, fleet: Fleet, injectFailure: (dispatcher: NodeProcess, others: NodeProcess[]) => Promise<NodeProcess[]>): Promise<void> {
 	const dispatcher = await findDispatcher(fleet.nodes);
 	const others = fleet.nodes.filter((_, index) => index !== dispatcher);
-	const tally: Tally = {whole: 0, failed: []};
+	const tally: Tally = {succeeded: 0, failed: []};
 	const started: Array<{at: number; done: number}> = [];
 	const start = performance.now();
-	let brokenAt = Number.POSITIVE_INFINITY;
+	let failedAt = Number.POSITIVE_INFINITY;
 	const work: Array<Promise<void>> = [];
 	while (performance.now() - start < 10_000) {
-		if (brokenAt === Number.POSITIVE_INFINITY && performance.now() - start > 1000) {
-			brokenAt = performance.now();
-			await breakIt(fleet.nodes[dispatcher], others);
+		if (failedAt === Number.POSITIVE_INFINITY && performance.now() - start > 1000) {
+			failedAt = performance.now();
+			await injectFailure(fleet.nodes[dispatcher], others);
 		}
 
 		work.push(sendOnce(others[work.length % others.length], tally, started));
@@ -107,9 +106,9 @@
 	}
 
 	await Promise.all(work);
-	const after = started.filter(entry => entry.at >= brokenAt).map(entry => entry.done - brokenAt);
+	const after = started.filter(entry => entry.at >= failedAt).map(entry => entry.done - failedAt);
 	const longestGap = findLongestGap([0, ...after].sort((left, right) => left - right));
-	print(`${name}: ${tally.whole} whole, ${tally.failed.length} failed${describeFailures(tally)}; longest time without a first token ${longestGap.toFixed(0)} ms`);
+	print(`${name}: ${tally.succeeded} whole, ${tally.failed.length} failed${describeFailures(tally)}; longest time without a first token ${longestGap.toFixed(0)} ms`);
 }
 
 async function sendOnce(node: NodeProcess, tally: Tally, started: Array<{at: number; done: number}>): Promise<void> {
@@ -132,17 +131,17 @@
 		}
 
 		if (text.endsWith('data: [DONE]\n\n')) {
-			tally.whole++;
+			tally.succeeded++;
 		} else {
-			tally.failed.push({at, what: /"code":"(?<code>\w+)"/.exec(text)?.groups?.code ?? `status ${response.statusCode}`});
+			tally.failed.push({at, reason: /"code":"(?<code>\w+)"/.exec(text)?.groups?.code ?? `status ${response.statusCode}`});
 		}
 	} catch (error) {
-		tally.failed.push({at, what: (error as {code?: string}).code ?? 'cut'});
+		tally.failed.push({at, reason: (error as {code?: string}).code ?? 'cut'});
 	}
 }
 
-/** A long answer whose entry is killed: when is its engine's memory free again? */
-async function measureOrphan(fleet: Fleet): Promise<void> {
+/** Measures how long an engine keeps the memory of a request whose entry node was killed. */
+async function measureOrphanedRequest(fleet: Fleet): Promise<void> {
 	const dispatcher = await findDispatcher(fleet.nodes);
 	const entry = fleet.nodes[(dispatcher + 1) % nodeCount];
 	const response = await request(`${entry.callers}/v1/chat/completions`, {
@@ -179,8 +178,8 @@
 
 function describeFailures(tally: Tally): string {
 	const kinds = new Map<string, number>();
-	for (const {what} of tally.failed) {
-		kinds.set(what, (kinds.get(what) ?? 0) + 1);
+	for (const {reason} of tally.failed) {
+		kinds.set(reason, (kinds.get(reason) ?? 0) + 1);
 	}
 
 	return kinds.size === 0 ? '' : ` (${[...kinds].map(([kind, count]) => `${kind} ${count}`).join(', ')})`;
