--- a/soak/answers.ts
+++ b/soak/answers.ts
@@ -1,44 +1,44 @@
-/** What a true answer of a stand-in server looks like, for the server and for the caller that checks it. */
+/** Expected responses of the stand-in backend servers, shared by the servers and the callers that verify them. */
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 
-/** Most events of one stream. */
-const mostEvents = 12;
+/** Maximum number of events in a stream. */
+const maxEvents = 12;
 
-/** How the body of a request begins that crashes the backend servers that run it. */
-const crashMark = 'crash-';
+/** Prefix of a request body that makes a backend server crash. */
+const crashPrefix = 'crash-';
 
-/** The body of a crashing request. */
+/** Returns the body of a crashing request. */
 export function formatCrashing(name: string): string {
-	return `${crashMark}${name}`;
+	return `${crashPrefix}${name}`;
 }
 
-/** Whether a body is that of a crashing request. */
+/** Returns whether a body belongs to a crashing request. */
 export function isCrashing(body: Uint8Array): boolean {
-	return Buffer.from(body.subarray(0, crashMark.length)).toString() === crashMark;
+	return Buffer.from(body.subarray(0, crashPrefix.length)).toString() === crashPrefix;
 }
 
-/** Digest of a request's body, which its answer repeats. */
+/** Returns the SHA-1 digest of a request body, which the response repeats. */
 export function hashBody(body: Uint8Array): string {
 	return createHash('sha1').update(body).digest('hex');
 }
 
-/** Text that belongs to one request and no other. */
+/** Returns response text that is unique to a request. */
 export function formatText(id: string, body: Uint8Array): string {
 	return `${id} ${hashBody(body)}`;
 }
 
-/** How many events the stream of a request has. */
+/** Returns the number of events in the stream of a request. */
 export function countEvents(text: string): number {
-	return 1 + (createHash('sha1').update(text).digest()[0] % mostEvents);
+	return 1 + (createHash('sha1').update(text).digest()[0] % maxEvents);
 }
 
-/** One event of a stream. */
+/** Formats a server-sent event. */
 export function formatEvent(id: number, text: string): string {
 	return `id: ${id}\ndata: ${text}\n\n`;
 }
 
-/** The whole stream of a request. */
+/** Formats the complete stream of a request. */
 export function formatStream(text: string): string {
 	return Array.from({length: countEvents(text)}, (_, index) => formatEvent(index + 1, text)).join('');
 }
--- a/soak/fleet.ts
+++ b/soak/fleet.ts
@@ -149,7 +149,7 @@
 
 	/** Gives the store a trouble, or takes it off. */
 	tellStore(order: Record<string, unknown>): void {
-		this.#store?.tell(order);
+		this.#store?.send(order);
 	}
 
 	/** The server with a number; those of the versions stay, without them nobody could tell which version is in force. */
--- a/soak/judge.ts
+++ b/soak/judge.ts
@@ -1,58 +1,58 @@
-/** Checks the promises of the pages against what was seen from outside. Pure. */
+/** Checks the documented guarantees against the records of a run. Pure. */
 import {
 	keptVersions, type CallRecord, type FaultRecord, type RunRecords,
 } from './records.js';
 
-/** A promise that was broken. */
+/** A violated guarantee. */
 export type Violation = {promise: string; id: string; detail: string};
 
-/** Statuses that say that a request did not run and never will. */
+/** Statuses that guarantee that a request did not run and never will. */
 const notRunStatuses = new Set([408, 421, 429, 503]);
 
-/** Time beyond its limit in which a request must have ended, in milliseconds: the bound of the pages and the way back. */
+/** Time after its deadline within which a request must end, in milliseconds: the documented bound plus the network time of the response. */
 const endSlack = 700;
 
-/** Time after which a leaving server gets nothing new, in milliseconds: the pages' two seconds and the way of a request. */
+/** Time after which a draining server receives no new requests, in milliseconds: the documented two seconds plus the network time of a request. */
 const drainLimit = 2300;
 
-/** Time in which a change of the configuration must be in force, in milliseconds: the pages' two seconds and the way of a request. */
+/** Time within which a configuration change must take effect, in milliseconds: the documented two seconds plus the network time of a request. */
 const changeLimit = 2300;
 
-/** Time after an answer by a newer version in which one by an older may still come, in milliseconds: they may have crossed. */
+/** Time after a response from a newer version during which one from an older version may still arrive, in milliseconds, because responses can be reordered. */
 const rollbackSlack = 250;
 
-/** Time after a fault in which its effects still show, in milliseconds: silences are noticed and views caught up. */
-const aftermath = 3000;
+/** Time after a fault during which its effects are still excused, in milliseconds: nodes detect stalled connections and catch up. */
+const recoveryTime = 3000;
 
-/** Time after a planned stop in which its node starts again, in milliseconds. */
+/** Time a node may take to restart after a graceful shutdown, in milliseconds. */
 const restartTime = 2000;
 
-/** Time after a fault of a node, or of a server that worked on it, in which a request may still break, in milliseconds. */
+/** Time after a fault of its node or its server during which a request may still fail, in milliseconds. */
 const breakSlack = 500;
 
-/** What a slow store may add to the time of a change, in milliseconds: the answer that had left before it, and one more. */
+/** Extra time that a slow store may add to a change, in milliseconds: one response already in flight before the change, and one more. */
 const slowSlack = 1800;
 
-/** Time from the first answer that names a limit, or from a third crash, until it binds, in milliseconds. */
-const contactTime = 3000;
+/** Time from the first announcement of a rate limit, or from the third crash, until it must be enforced, in milliseconds. */
+const enforcementDelay = 3000;
 
-/** Length of a window of limited arrivals, in milliseconds, how far they may exceed the limit in it, and how many may come besides. */
+/** Window for counting rate-limited requests, in milliseconds, the tolerated factor above the limit, and the tolerated number of extra requests. */
 const limitWindow = 4000;
 const limitExcess = 1.5;
 const limitSlack = 5;
 
-/** Time after which a node that saw the limit has to keep it, in milliseconds. */
-const toldTime = 500;
+/** Time after which a node that has received the limit must apply it, in milliseconds. */
+const limitUpdateTime = 500;
 
-/** Crashes after which a request must be rejected, and the number of later arrivals that are tolerated. */
+/** Number of crashes after which a request must be rejected, and the tolerated number of later arrivals. */
 const crashesToReject = 3;
-const lateArrivals = 3;
+const maxLateArrivals = 3;
 
-/** Last part of the grace in which a stopping node may end what has not ended, as a share. */
-const cutShare = 5 / 6;
+/** Fraction of the grace period during which a stopping node must not abort requests; in the rest it may. */
+const gracefulShare = 5 / 6;
 
-/** Everything that must hold, checked one after the other. */
-export function judgeRun(records: RunRecords, graceMs: number): Violation[] {
+/** Returns all violations in the records of a run; `graceMs` is the grace period of a graceful shutdown. */
+export function evaluateRun(records: RunRecords, graceMs: number): Violation[] {
 	return [
 		...checkAnswers(records),
 		...checkRuns(records),
@@ -68,14 +68,14 @@
 	];
 }
 
-/** Each answer that looks complete is the whole answer of its own request. */
+/** A complete response must be the full response to its own request. */
 function checkAnswers({calls}: RunRecords): Violation[] {
 	return calls
 		.filter(call => call.isComplete && call.wrong !== undefined)
 		.map(call => ({promise: 'a complete answer is whole and its own', id: call.id, detail: `${call.wrong} (status ${call.status}, node ${call.node})`}));
 }
 
-/** What may run once runs once; what was told not to have run has not. */
+/** A non-retryable request must run at most once, and a request reported as not run must not have run. */
 function checkRuns({calls, runs}: RunRecords): Violation[] {
 	const counts = collectBy(runs, ({id}) => id);
 
@@ -94,7 +94,7 @@
 	});
 }
 
-/** Every request ends within its bound, unless its node or the way to it was disturbed. */
+/** Every request must end within its bound, unless a fault affected its node or the link to it. */
 function checkBounds(records: RunRecords): Violation[] {
 	return records.calls
 		.filter(call => call.endedAt - call.sentAt > call.limit + endSlack)
@@ -102,7 +102,7 @@
 		.map(call => ({promise: 'every request ends within its bound', id: call.id, detail: `${call.endedAt - call.sentAt} ms of ${call.limit}, node ${call.node}`}));
 }
 
-/** A leaving server gets nothing new from a node that nothing kept from hearing of it. */
+/** A draining server must receive no new requests, except from nodes that a fault kept from receiving the change. */
 function checkLeaving(records: RunRecords): Violation[] {
 	const {runs, changes} = records;
 	const leaving = new Map(changes.filter(change => change.leaving !== undefined).map(change => [change.leaving!, change.at]));
@@ -112,25 +112,25 @@
 		.map(run => ({promise: 'a leaving server gets nothing new', id: run.id, detail: `server ${run.server} got it ${run.at - leaving.get(run.server)!} ms after it left, from ${run.node}`}));
 }
 
-/** A change is in force in time, and no node goes back. */
+/** A configuration change must take effect in time, and no node may return to an older version. */
 function checkVersions(records: RunRecords): Violation[] {
 	const {calls, changes} = records;
 	const versions = changes.flatMap(({at, sentAt, version}) => version === undefined ? [] : [{at, sentAt, ...version}]);
 	const shown = calls.filter(call => call.kind === 'version' && call.isComplete && call.status === 200).sort((left, right) => left.sentAt - right.sentAt);
 	return shown.flatMap((call, index) => {
 		const due = versions.findLastIndex(version => version.at + changeLimit + findSlack(records, version.at, call.endedAt) < call.sentAt);
-		const possible = findPossible(versions, call);
+		const possible = findPossibleVersions(versions, call);
 		const newest = Math.max(-1, ...possible);
 		if (newest < due && !isDisturbed(records, call, versions[due].at, call.endedAt)) {
 			const after = call.sentAt - versions[due].at;
 			return [{promise: 'a change is in force in time', id: call.id, detail: `${call.service} answered at ${call.node} ${after} ms after version ${versions[due].number}`}];
 		}
 
-		// A late answer is no way back: what counts is the newest version that its service may stand for at all.
+		// A late response is not a rollback: compare with the newest version that uses the same service.
 		const newestSent = versions.findLastIndex(version => version.service === call.service && version.sentAt <= call.endedAt);
 		const later = shown.slice(0, index).findLast(earlier => earlier.node === call.node
 			&& earlier.endedAt + rollbackSlack < call.sentAt
-			&& findOldest(versions, earlier) > newestSent);
+			&& findOldestVersion(versions, earlier) > newestSent);
 		if (later !== undefined && !isDisturbed(records, call, later.sentAt, call.endedAt)) {
 			return [{promise: 'a node never goes back to an older configuration', id: call.id, detail: `${call.service} answered at ${call.node} after ${later.service} had`}];
 		}
@@ -139,7 +139,7 @@
 	});
 }
 
-/** A route and a key are known to every node in time, and unknown in time after they were dropped. */
+/** Every node must accept an added route and key in time, and reject them in time after their removal. */
 function checkAdded(records: RunRecords): Violation[] {
 	const versions = records.changes.flatMap(({at, sentAt, version}) => version === undefined ? [] : [{at, sentAt, number: version.number}]);
 	return records.calls.filter(call => call.kind === 'added' && call.isComplete).flatMap(call => {
@@ -159,18 +159,18 @@
 	});
 }
 
-/** A store that answers late makes changes late by as much. */
+/** Returns the extra time for a change when the store responded slowly, in milliseconds. */
 function findSlack({faults}: RunRecords, from: number, to: number): number {
-	return faults.some(fault => fault.kind === 'store_slow' && fault.from <= to && fault.to + aftermath >= from) ? slowSlack : 0;
+	return faults.some(fault => fault.kind === 'store_slow' && fault.from <= to && fault.to + recoveryTime >= from) ? slowSlack : 0;
 }
 
-/** The oldest version that an answer may have come from; of one that is too late for all of them nothing is known. */
-function findOldest(versions: Parameters<typeof findPossible>[0], call: CallRecord): number {
-	return findPossible(versions, call)[0] ?? -1;
+/** Returns the index of the oldest version that can have produced a response, or -1 when the response is too late for all versions. */
+function findOldestVersion(versions: Parameters<typeof findPossibleVersions>[0], call: CallRecord): number {
+	return findPossibleVersions(versions, call)[0] ?? -1;
 }
 
-/** Indexes of the versions that an answer may have come from: sent by then, and not replaced for longer than the bound. */
-function findPossible(versions: Array<{at: number; sentAt: number; service: string}>, call: CallRecord): number[] {
+/** Returns the indexes of the versions that can have produced a response: already sent, and not replaced for longer than the bound. */
+function findPossibleVersions(versions: Array<{at: number; sentAt: number; service: string}>, call: CallRecord): number[] {
 	return versions.flatMap((version, index) => {
 		const next = versions[index + 1];
 		const isOver = next !== undefined && next.at + changeLimit < call.sentAt;
@@ -188,31 +188,33 @@
 	return groups;
 }
 
-/** A server gets no more than the limit that it has named for three seconds, from nodes that have seen it and are well. */
+/** Healthy nodes that have received a rate limit must not exceed it from three seconds after its announcement. */
 function checkLimits(records: RunRecords): Violation[] {
 	const spans = collectBy(records.limitedArrivals, ({server, namedAt}) => `${server} since ${namedAt}`);
 	return [...spans].flatMap(([id, arrivals]) => {
-		const counted = arrivals.filter(arrival => arrival.at > arrival.namedAt + contactTime
-			&& arrivals.some(({node, at}) => node === arrival.node && at + toldTime < arrival.at)
-			&& !isDisturbed(records, arrival, arrival.at - contactTime, arrival.at));
+		const counted = arrivals.filter(arrival => arrival.at > arrival.namedAt + enforcementDelay
+			&& arrivals.some(({node, at}) => node === arrival.node && at + limitUpdateTime < arrival.at)
+			&& !isDisturbed(records, arrival, arrival.at - enforcementDelay, arrival.at));
 		const allowed = (arrivals[0].limit * limitWindow / 1000 * limitExcess) + limitSlack;
 		const busiest = Math.max(0, ...counted.map(({at}) => counted.filter(other => other.at >= at && other.at <= at + limitWindow).length));
 		return busiest > allowed ? [{promise: 'a named limit is kept', id, detail: `${busiest} requests in ${limitWindow} ms at ${arrivals[0].limit} a second`}] : [];
 	});
 }
 
-/** A request that has crashed three servers is rejected from then on. */
+/** A request that has crashed three servers must be rejected from then on. */
 function checkCrashing(records: RunRecords): Violation[] {
 	const requests = collectBy(records.crashes, ({request}) => request);
 	return [...requests].flatMap(([id, seen]) => {
 		const crashes = seen.filter(({hasCrashed}) => hasCrashed).map(({at}) => at).sort((left, right) => left - right);
 		const third = crashes[crashesToReject - 1] ?? Infinity;
-		const late = seen.filter(({hasCrashed, at, node}) => !hasCrashed && at > third + contactTime && !isDisturbed(records, {node}, at - contactTime, at));
-		return late.length > lateArrivals ? [{promise: 'a crashing request is rejected', id, detail: `${late.length} arrivals ${contactTime} ms after the third of ${crashes.length} crashes`}] : [];
+		const late = seen.filter(({hasCrashed, at, node}) => !hasCrashed && at > third + enforcementDelay && !isDisturbed(records, {node}, at - enforcementDelay, at));
+		return late.length > maxLateArrivals
+			? [{promise: 'a crashing request is rejected', id, detail: `${late.length} arrivals ${enforcementDelay} ms after the third of ${crashes.length} crashes`}]
+			: [];
 	});
 }
 
-/** A planned stop cuts off nothing that was passed on, also of what still comes on open connections. */
+/** A graceful shutdown must not abort forwarded requests, including those that still arrive on open connections. */
 function checkStops({
 	calls, runs, stops, faults,
 }: RunRecords, graceMs: number): Violation[] {
@@ -223,26 +225,26 @@
 
 	return stops.flatMap(stop => calls
 		.filter(call => call.node === stop.node && !call.isComplete && (call.status > 0 || servers.has(call.id)))
-		.filter(call => call.sentAt <= stop.endedAt && call.endedAt >= stop.at && call.endedAt <= stop.at + (graceMs * cutShare))
+		.filter(call => call.sentAt <= stop.endedAt && call.endedAt >= stop.at && call.endedAt <= stop.at + (graceMs * gracefulShare))
 		.filter(call => !faults.some(fault => fault.from <= call.endedAt && fault.to + breakSlack >= call.sentAt
 			&& (fault.node === call.node || servers.get(call.id)?.has(fault.server ?? ''))))
 		.map(call => ({promise: 'a planned stop cuts nothing off', id: call.id, detail: `cut ${call.endedAt - stop.at} ms after SIGTERM at ${stop.node}`})));
 }
 
 /**
- * Whether something may have kept a node from keeping a promise in a span.
+ * Returns whether a fault or a shutdown excuses a violation by a node in a time span.
  *
- * Faults of other nodes and of servers don't excuse it.
+ * Faults of other nodes and of servers are no excuse.
  */
 function isDisturbed({faults, stops}: RunRecords, who: Pick<CallRecord, 'node'>, from: number, to: number): boolean {
-	const isNear = (span: {from: number; to: number}) => span.from <= to && span.to + aftermath >= from;
-	const isUnwell = (node: string) => faults.some(fault => fault.node === node && isNear(fault))
-		|| stops.some(stop => stop.node === node && isNear({from: stop.at, to: stop.endedAt + restartTime}));
-	return faults.filter(fault => isNear(fault)).some(fault => fault.node === who.node || isForAll(fault, isUnwell));
+	const isOverlapping = (span: {from: number; to: number}) => span.from <= to && span.to + recoveryTime >= from;
+	const isNodeDisturbed = (node: string) => faults.some(fault => fault.node === node && isOverlapping(fault))
+		|| stops.some(stop => stop.node === node && isOverlapping({from: stop.at, to: stop.endedAt + restartTime}));
+	return faults.filter(fault => isOverlapping(fault)).some(fault => fault.node === who.node || isForAllNodes(fault, isNodeDisturbed));
 }
 
-/** Whether a fault keeps every node from hearing of changes. */
-function isForAll({kind, node, server, served}: FaultRecord, isUnwell: (node: string) => boolean): boolean {
+/** Returns whether a fault keeps every node from receiving changes. */
+function isForAllNodes({kind, node, server, served}: FaultRecord, isUnwell: (node: string) => boolean): boolean {
 	if (kind === 'store_slow') {
 		return false;
 	}
--- a/soak/link.ts
+++ b/soak/link.ts
@@ -50,7 +50,7 @@
 	}
 
 	/** Takes the fault off. */
-	heal(): void {
+	clearFault(): void {
 		this.#fault = noFault;
 	}
 
--- a/soak/load.ts
+++ b/soak/load.ts
@@ -14,7 +14,7 @@
 const meanGap = 9;
 
 /** Time between two questions for addresses, in milliseconds: the life of an answer. */
-const askEvery = 1000;
+const resolveInterval = 1000;
 
 /** Prompts in tokens: short, long, and longer than one server's memory. */
 const promptSizes = [{tokens: 4000, share: 0.86}, {tokens: 60_000, share: 0.11}, {tokens: 330_000, share: 0.03}];
@@ -26,7 +26,7 @@
 const giveUpAfter = 3000;
 
 /** Longest body in bytes. */
-const longestBody = 20_000;
+const maxBodyBytes = 20_000;
 
 /** Time after a change at which each node is asked for what it added, in milliseconds: right after it must be there. */
 const askAddedAfter = 2350;
@@ -130,7 +130,7 @@
 				// The node is away; the next one is asked the next time.
 			}
 
-			await pause(this.#addresses.length === 0 ? 50 : askEvery);
+			await pause(this.#addresses.length === 0 ? 50 : resolveInterval);
 		}
 	}
 
@@ -183,7 +183,7 @@
 
 	async #call(node: SoakNode, shape: CallShape, addedBy = shape.kind === 'added' ? this.#pickVersion() : undefined): Promise<void> {
 		const id = randomUUID();
-		const body = Buffer.alloc(Math.floor(this.#random() * longestBody), id);
+		const body = Buffer.alloc(Math.floor(this.#random() * maxBodyBytes), id);
 		const record: CallRecord = {
 			id, kind: shape.kind, node: node.name, sentAt: Date.now(), endedAt: 0, status: 0, isComplete: false, limit: shape.limit, addedBy,
 		};
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -14,7 +14,7 @@
 const regressionsFile = 'soak/regressions.toml';
 
 /** Violations printed of one run. */
-const mostPrinted = 20;
+const maxPrinted = 20;
 
 /** The words of the command line. */
 type Options = {
@@ -50,7 +50,7 @@
 	const result = await runOnce({
 		seed, length: seconds * 1000, size: {nodes, modelServers: servers, fillerRoutes: options.routes}, folder, kinds: options.kinds,
 	});
-	process.stdout.write(`${JSON.stringify({...result, violations: result.violations.slice(0, mostPrinted), broken: result.violations.length})}\n`);
+	process.stdout.write(`${JSON.stringify({...result, violations: result.violations.slice(0, maxPrinted), broken: result.violations.length})}\n`);
 	if (options.logs === undefined) {
 		rmSync(folder, {recursive: true});
 	}
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,60 +1,60 @@
 /**
- * What goes wrong in one run, and when: drawn from a seed, so that a run can be repeated.
+ * Draws the fault schedule of a run from a seed, so that a run can be repeated.
  *
- * Faults overlap and come in series; each is over by itself. Pure.
+ * Faults overlap, and each ends after its duration. Pure.
  */
 import seedrandom from 'seedrandom';
 
-/** What a fault does to its target for a while. */
+/** Kinds of injected fault. */
 export type FaultKind =
-	/** A node: SIGKILL, SIGSTOP and SIGCONT, SIGTERM; it is started again. */
+	/** A node receives SIGKILL, SIGSTOP and SIGCONT, or SIGTERM; it is restarted afterwards. */
 	| 'node_kill' | 'node_pause' | 'node_stop'
-	/** All nodes: SIGKILL at once. */
+	/** All nodes receive SIGKILL at the same time. */
 	| 'all_kill'
-	/** A backend server: SIGKILL or SIGSTOP, or a planned end; another one takes its place. */
+	/** A backend server receives SIGKILL or SIGSTOP, or drains; a new one replaces it. */
 	| 'server_kill' | 'server_pause' | 'server_drain'
-	/** A backend server: a planned end, or SIGKILL, and another life under the same name at the same address. */
+	/** A backend server shuts down gracefully or receives SIGKILL, and restarts with the same name and address. */
 	| 'server_reborn' | 'server_crashed_reborn'
-	/** Somebody else writes among the entries of servers: over one of them, and under a name of its own. */
+	/** A foreign client writes to the server entries of the store: it overwrites one and adds another. */
 	| 'entry_foreign'
-	/** The store: answers nothing, 503, late, or does a write and loses the answer; or forgets its history. */
+	/** The store does not respond, returns 503, responds late, applies a write but loses the response, or loses its history. */
 	| 'store_silent' | 'store_busy' | 'store_slow' | 'store_lossy' | 'store_forget'
-	/** A link: bytes are late, stand still in one or both directions, or the connections are reset. */
+	/** A link delays bytes, stalls in one or both directions, or resets its connections. */
 	| 'link_delay' | 'link_one_way' | 'link_silent' | 'link_reset'
-	/** The connections of a link, or of all links of its kind, go silent for good while new ones work; the configuration changes right after. */
+	/** The open connections of a link, or of all links of its kind, stall permanently while new ones work; the configuration changes shortly after. */
 	| 'link_severed'
-	/** The store is silent to all nodes but one, old and new connections alike, and the configuration changes meanwhile. */
+	/** The store responds to only one node, on old and new connections alike, and the configuration changes meanwhile. */
 	| 'store_partial'
-	/** A backend server names a limit on its requests. */
+	/** A backend server announces a request rate limit. */
 	| 'server_limit'
-	/** Callers repeat a request that crashes each backend server that runs it. */
+	/** Callers retry a request that crashes every backend server that runs it. */
 	| 'request_crash'
 	/** The operator changes the configuration. */
 	| 'config_change';
 
-/** Kinds of the main series; each of the others has a series of its own, so that a seed has the same other faults with it and without it. */
+/** Kinds of the main series. Each other kind has its own random series, so that enabling it does not change the other faults of a seed. */
 type SeriesKind = Exclude<FaultKind, 'link_severed' | 'store_partial' | 'server_limit' | 'request_crash'>;
 
-/** One fault; times in milliseconds from the start. */
+/** A scheduled fault; times are in milliseconds from the start of the run. */
 export type Fault = {
 	kind: FaultKind;
 	at: number;
 	duration: number;
-	/** Which node, server or link, by a number that is taken modulo how many there are. */
+	/** Index of the node, server or link, taken modulo their number. */
 	target: number;
-	/** Which links, for faults of links. */
+	/** Kind of link, for link faults. */
 	link?: LinkKind;
 };
 
-/** Callers to a node, a node to the store, nodes to a backend server, nodes to another node. */
+/** Links from callers to a node, from a node to the store, from nodes to a backend server, and from nodes to another node. */
 export type LinkKind = 'callers' | 'store' | 'server' | 'peers';
 
 const linkKinds: LinkKind[] = ['callers', 'store', 'server'];
 
-/** Links that are severed: a caller on a severed connection learns nothing of its node, and the node is not to blame. */
+/** Kinds of link that are severed. Caller links are not: a caller on a severed connection gets no response, through no fault of the node. */
 const severedKinds: LinkKind[] = ['store', 'server', 'peers'];
 
-/** How often each kind of the main series comes, relative to the others. */
+/** Relative frequency of each kind in the main series. */
 const weights: Record<SeriesKind, number> = {
 	node_kill: 3,
 	node_pause: 3,
@@ -78,26 +78,26 @@
 	config_change: 8,
 };
 
-/** Kinds of fault, in the order in which they are drawn. */
+/** All kinds of fault; the order determines what a seed draws. */
 export const faultKinds: FaultKind[] = [...Object.keys(weights) as SeriesKind[], 'link_severed', 'store_partial', 'server_limit', 'request_crash'];
 
-/** Mean time between two faults, in milliseconds: with durations of seconds, four or so overlap. */
+/** Mean time between two faults, in milliseconds; with durations of seconds, about four overlap. */
 const meanGap = 500;
 
-/** Faults come for this long, and then none for as long, in milliseconds: promises that allow for a disturbance bind only when one is over. */
-const stretch = 5000;
+/** Length of the alternating phases with and without faults, in milliseconds. Guarantees that are suspended during faults can only be checked after them. */
+const phaseLength = 5000;
 
-/** Mean time between two severings, in milliseconds: a series of its own, also in calm times, and drawn apart, so that a seed has the same other faults with it and without it. */
-const severedGap = 3000;
+/** Mean time between two severings, in milliseconds; they also occur in phases without other faults. */
+const meanSeveringGap = 3000;
 
-/** Longest silence of the store to most nodes, and what the time to the next one may be more, in milliseconds. */
-const longestPartial = 4000;
-const partialGap = 4000;
+/** Maximum duration of a partial store outage, and maximum extra time until the next one, in milliseconds. */
+const maxPartialSilence = 4000;
+const maxPartialGap = 4000;
 
-/** Longest time from a severing to the change of the configuration, in milliseconds: within the bound for a change. */
-const longestSevered = 1500;
+/** Maximum time from a severing to the configuration change, in milliseconds; shorter than the bound for applying a change. */
+const maxChangeDelay = 1500;
 
-/** Pauses, and shortest and longest durations, of limits and of crashing requests, in milliseconds: a limit binds three seconds after it was first named. */
+/** Mean pauses and minimum and maximum durations of rate limits and crashing requests, in milliseconds. A limit is enforced three seconds after its announcement, so it must last longer. */
 const limitSeries = {
 	name: 'limit', pause: 1500, shortest: 6000, longest: 9000,
 };
@@ -105,14 +105,14 @@
 	name: 'crash', pause: 3000, shortest: 5000, longest: 9000,
 };
 
-/** Shortest and longest fault, in milliseconds. */
+/** Minimum and maximum duration of a fault in the main series, in milliseconds. */
 const shortest = 200;
 const longest = 3000;
 
-/** Time at the beginning in which nothing goes wrong, in milliseconds: traffic must run before it can be disturbed. */
+/** Time before the first fault, in milliseconds; traffic must be running first. */
 const quietStart = 1500;
 
-/** Draws the faults of a run that lasts so many milliseconds. */
+/** Draws the faults of a run; `length` is in milliseconds. */
 export function drawFaults(seed: number, length: number, kinds: FaultKind[] = faultKinds): Fault[] {
 	const drawn = kinds.filter(kind => isOfMainSeries(kind));
 	return [
@@ -127,7 +127,7 @@
 function drawSeverings(seed: number, length: number): Fault[] {
 	const random = seedrandom(`severed-${seed}`);
 	const faults: Fault[] = [];
-	for (let at = quietStart; ; at += -Math.log(1 - random()) * severedGap) {
+	for (let at = quietStart; ; at += -Math.log(1 - random()) * meanSeveringGap) {
 		if (at >= length) {
 			return faults;
 		}
@@ -135,23 +135,23 @@
 		faults.push({
 			kind: 'link_severed',
 			at: Math.round(at),
-			duration: Math.round(random() * longestSevered),
+			duration: Math.round(random() * maxChangeDelay),
 			target: Math.floor(random() * 1000),
 			link: severedKinds[Math.floor(random() * severedKinds.length)],
 		});
 	}
 }
 
-/** One after the other, drawn apart like severings. */
+/** Draws partial store outages that do not overlap, from their own random series. */
 function drawPartialSilences(seed: number, length: number): Fault[] {
 	const random = seedrandom(`partial-${seed}`);
 	const faults: Fault[] = [];
-	for (let at = quietStart; ; at += longestPartial + Math.round(random() * partialGap)) {
+	for (let at = quietStart; ; at += maxPartialSilence + Math.round(random() * maxPartialGap)) {
 		if (at >= length) {
 			return faults;
 		}
 
-		const duration = Math.round(longestPartial * (0.5 + (random() / 2)));
+		const duration = Math.round(maxPartialSilence * (0.5 + (random() / 2)));
 		faults.push({
 			kind: 'store_partial', at, duration, target: Math.floor(random() * 1000),
 		});
@@ -162,7 +162,7 @@
 	return kind in weights;
 }
 
-/** One after the other, with pauses. */
+/** Draws faults that do not overlap, with pauses between them. */
 function drawSpans(kind: FaultKind, series: typeof limitSeries, seed: number, length: number): Fault[] {
 	const random = seedrandom(`${series.name}-${seed}`);
 	const faults: Fault[] = [];
@@ -184,8 +184,8 @@
 	let at = quietStart;
 	for (;;) {
 		at += -Math.log(1 - random()) * meanGap;
-		if (Math.floor(at / stretch) % 2 === 1) {
-			at += stretch;
+		if (Math.floor(at / phaseLength) % 2 === 1) {
+			at += phaseLength;
 		}
 
 		if (at >= length) {
--- a/soak/processes.ts
+++ b/soak/processes.ts
@@ -79,7 +79,7 @@
 	}
 
 	/** Writes a line to its standard input. */
-	tell(order: Record<string, unknown>): void {
+	send(order: Record<string, unknown>): void {
 		this.#child.stdin!.write(`${JSON.stringify(order)}\n`);
 	}
 
--- a/soak/records.ts
+++ b/soak/records.ts
@@ -1,63 +1,63 @@
-/** What callers, backend servers and the operator saw in a run; times are wall-clock milliseconds of one machine. */
+/** Observations of callers, backend servers and the operator in a run; times are wall-clock milliseconds of one machine. */
 
-/** How a caller's request ended. */
+/** Outcome of a request, as its caller observed it. */
 export type CallRecord = {
 	id: string;
-	/** What may be done with it a second time: nothing, or anything. */
+	/** Kind of request: `once` may run at most once; the others may be retried. */
 	kind: 'once' | 'again' | 'stream' | 'version' | 'added';
 	node: string;
 	sentAt: number;
 	endedAt: number;
-	/** Status of the answer; 0 when there was none. */
+	/** HTTP status of the response; 0 without a response. */
 	status: number;
-	/** Whether the answer ended as complete. */
+	/** Whether the response body ended normally. */
 	isComplete: boolean;
-	/** What is wrong with a complete answer; undefined when it is the whole answer of this request. */
+	/** Describes the error in a complete response; undefined when the response is the expected one. */
 	wrong?: string;
-	/** The service that answered a request for the version in force. */
+	/** Service that answered; it shows which configuration version was active. */
 	service?: string;
-	/** Version that brought the route and the key of a request. */
+	/** Configuration version that added the route and the key of the request. */
 	addedBy?: number;
-	/** Longest time that the request may take. */
+	/** Deadline of the request, in milliseconds after it was sent. */
 	limit: number;
 };
 
-/** A backend server began to work on a request. */
+/** A backend server started to run a request. */
 export type RunRecord = {id: string; server: string; service: string; node: string; at: number};
 
-/** The store took a change: `sentAt` is when it was first sent, `at` when it was acknowledged. */
+/** The store accepted a change: `sentAt` is when it was first sent, `at` when it was acknowledged. */
 export type ChangeRecord = {at: number; sentAt: number; version?: {number: number; service: string}; leaving?: string};
 
-/** Versions for which a route and a key that a version adds stay. */
+/** Number of configuration versions that keep the route and the key added by a version. */
 export const keptVersions = 6;
 
-/** Something was disturbed; `node` or `server` when it was only that one. */
+/** An injected fault; `node` or `server` is set when only that one was affected. */
 export type FaultRecord = {
 	kind: string;
 	from: number;
 	to: number;
 	node?: string;
 	server?: string;
-	/** Nodes that a store served which was silent to all others: it disturbs nobody while one of these is well. */
+	/** Nodes that a partially silent store still served; while one of them is healthy, the fault excuses no violation. */
 	served?: string[];
 };
 
-/** A planned stop of a node. */
+/** A graceful shutdown of a node. */
 export type StopRecord = {node: string; at: number; endedAt: number};
 
-/** A request that reached a backend server which named a limit, in requests a second; `namedAt` is when it first did. */
+/** A request that reached a backend server with a rate limit, in requests per second; `namedAt` is when it first announced the limit. */
 export type LimitedArrival = {server: string; node: string; at: number; limit: number; namedAt: number};
 
-/** A crashing request reached a backend server, or crashed it. */
+/** A crashing request reached a backend server or, with `hasCrashed`, crashed it. */
 export type CrashRecord = {request: string; server: string; node: string; at: number; hasCrashed: boolean};
 
-/** Memory that a backend server still had set aside at the end. */
+/** A memory reservation that a backend server still held at the end of the run. */
 export type LeftMemory = {server: string; reservation: string};
 
-/** A node that did not use just the servers that were ready at the end. */
+/** A node whose usable servers differed from the ready servers at the end of the run. */
 export type UnusedServers = {node: string; usable: number; ready: number};
 
-/** All of a run. */
+/** All records of a run. */
 export type RunRecords = {
 	calls: CallRecord[];
 	runs: RunRecord[];
@@ -70,7 +70,7 @@
 	unusedServers: UnusedServers[];
 };
 
-/** An empty set. */
+/** Creates empty records. */
 export function createRecords(): RunRecords {
 	return {
 		calls: [], runs: [], changes: [], faults: [], stops: [], limitedArrivals: [], crashes: [], leftMemory: [], unusedServers: [],
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -2,7 +2,7 @@
 import {
 	SoakFleet, stopGrace, type FleetSize, type SoakNode, type SoakServer,
 } from './fleet.js';
-import {judgeRun, type Violation} from './judge.js';
+import {evaluateRun, type Violation} from './judge.js';
 import {pause} from './link.js';
 import {Load} from './load.js';
 import {drawFaults, type Fault, type FaultKind} from './plan.js';
@@ -75,7 +75,7 @@
 		whole: records.calls.filter(call => call.isComplete && call.status === 200).length,
 		faults: faults.length,
 		processes: fleet.processes.count,
-		violations: judgeRun(records, stopGrace),
+		violations: evaluateRun(records, stopGrace),
 	};
 }
 
@@ -228,9 +228,9 @@
 
 	/** Excuses nothing: a limited server serves what it is sent. */
 	async #limitServer(server: SoakServer): Promise<void> {
-		server.process.tell({limit: namedLimits[this.#fault.target % namedLimits.length]});
+		server.process.send({limit: namedLimits[this.#fault.target % namedLimits.length]});
 		await pause(this.#fault.duration);
-		server.process.tell({});
+		server.process.send({});
 	}
 
 	async #disturbStore(how: string): Promise<void> {
@@ -259,7 +259,7 @@
 			}
 
 			for (const node of silent) {
-				node.storeLink.heal();
+				node.storeLink.clearFault();
 			}
 		});
 	}
@@ -296,7 +296,7 @@
 				isSilentForth: kind === 'link_silent',
 			});
 			await pause(duration);
-			link.heal();
+			link.clearFault();
 		});
 	}
 }
--- a/soak/steady-ports.ts
+++ b/soak/steady-ports.ts
@@ -7,22 +7,22 @@
  * A node keeps its ports over its lives; of the others one is taken now and then by any connection of the machine
  * while the node is away, and it cannot start again.
  */
-const lowest = 10_000;
-const highest = 32_000;
+const minPort = 10_000;
+const maxPort = 32_000;
 
 /** Ports that this process has given out: whoever is to listen there may not do so yet, and no other one must be given them. */
-const given = new Set<number>();
+const assignedPorts = new Set<number>();
 
 /** So many ports of loopback that nobody listens on, each given out once. */
 export async function findSteadyPorts(count: number): Promise<number[]> {
 	const ports: number[] = [];
 	while (ports.length < count) {
-		const port = lowest + Math.floor(Math.random() * (highest - lowest));
-		if (given.has(port)) {
+		const port = minPort + Math.floor(Math.random() * (maxPort - minPort));
+		if (assignedPorts.has(port)) {
 			continue;
 		}
 
-		given.add(port);
+		assignedPorts.add(port);
 		if (await isFree(port)) {
 			ports.push(port);
 		}
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -10,7 +10,7 @@
 	afterAll, beforeAll, expect, test,
 } from '@jest/globals';
 import {countEvents, formatStream} from '../soak/answers.js';
-import {judgeRun} from '../soak/judge.js';
+import {evaluateRun} from '../soak/judge.js';
 import {Link, pause} from '../soak/link.js';
 import {drawFaults, faultKinds} from '../soak/plan.js';
 import {Processes} from '../soak/processes.js';
@@ -32,7 +32,7 @@
 function listBroken(fill: (records: RunRecords) => void): string[] {
 	const records = createRecords();
 	fill(records);
-	return judgeRun(records, grace).map(violation => violation.promise);
+	return evaluateRun(records, grace).map(violation => violation.promise);
 }
 
 test('a run in which everything went as promised breaks nothing', () => {
@@ -274,7 +274,7 @@
 	socket.write('one');
 	await pause(100);
 	expect(seen.text).toBe('');
-	link.heal();
+	link.clearFault();
 	await pause(100);
 	expect(seen.text).toBe('one');
 	link.reset();
@@ -300,7 +300,7 @@
 	third.write('new');
 	await pause(50);
 	expect([...seen, other]).toEqual([{text: 'before', isReset: false}, {text: 'before', isReset: false}, {text: 'new', isReset: false}]);
-	link.heal();
+	link.clearFault();
 	await pause(50);
 	expect(seen[0].text).toBe('before');
 	first.destroy();
