--- a/soak/detour.ts
+++ b/soak/detour.ts
@@ -1,7 +1,7 @@
 /**
- * Loaded into gateways before their program: connections to other nodes go through the links of the soak.
+ * Preloaded into gateways to redirect connections between nodes through the links of the soak.
  *
- * A node tells the others the very address it listens on, so no link can stand between them otherwise.
+ * A node advertises the address it listens on, so a link cannot be inserted through its settings.
  */
 import net from 'node:net';
 import process from 'node:process';
@@ -11,7 +11,7 @@
 
 type Connect = (...words: unknown[]) => net.Socket;
 
-/** Only the form with options is used between nodes; whatever else comes is passed on as it is. */
+/** Redirects calls that pass an options object, the only form used between nodes; other calls are unchanged. */
 const connectByDetour: Connect = (options, ...rest) => {
 	const asked = options as Record<string, unknown>;
 	const port = detours[String(asked.port)];
--- a/soak/link.ts
+++ b/soak/link.ts
@@ -1,24 +1,24 @@
-/** A TCP link on loopback that can be delayed, silenced in one or both directions, reset, or severed: then the connections it has are silent for good. */
+/** A loopback TCP proxy that can delay, stall in one or both directions, reset, or permanently stall its connections. */
 import {
 	connect, createServer, type AddressInfo, type Server, type Socket,
 } from 'node:net';
 
-/** What a link does to the bytes it carries; `back` is the direction from the target to whoever connected. */
+/** Fault of a link: `delay` in milliseconds, and stalls towards the target (`forth`) or towards the client (`back`). */
 export type LinkFault = {delay: number; isSilentForth: boolean; isSilentBack: boolean};
 
 const noFault: LinkFault = {delay: 0, isSilentForth: false, isSilentBack: false};
 
-/** Time between looks at whether a silent direction carries again, in milliseconds. */
+/** Interval for checking whether a stalled direction has recovered, in milliseconds. */
 const silencePoll = 20;
 
-/** One link to one target. */
+/** Forwards connections to one target. */
 export class Link {
 	readonly #server: Server;
 	readonly #sockets = new Set<Socket>();
 	readonly #severed = new WeakSet<Socket>();
 	#fault = noFault;
 
-	/** `findTarget` gives the port of the target, which may change. */
+	/** `findTarget` returns the port of the target, which may change. */
 	constructor(findTarget: () => number) {
 		this.#server = createServer({allowHalfOpen: true}, near => {
 			const far = connect({port: findTarget(), host: '127.0.0.1', allowHalfOpen: true});
@@ -26,17 +26,17 @@
 		});
 	}
 
-	/** Port to connect to. */
+	/** Local port that clients connect to. */
 	get port(): number {
 		return (this.#server.address() as AddressInfo).port;
 	}
 
-	/** `IP:PORT` to connect to. */
+	/** Local `IP:PORT` that clients connect to. */
 	get address(): string {
 		return `127.0.0.1:${this.port}`;
 	}
 
-	/** Starts to take connections. */
+	/** Starts to accept connections. */
 	async open(): Promise<this> {
 		await new Promise<void>(resolve => {
 			this.#server.listen(0, '127.0.0.1', resolve);
@@ -44,31 +44,31 @@
 		return this;
 	}
 
-	/** Puts a fault on all its connections, new ones too. */
+	/** Applies a fault to all connections, including new ones. */
 	setFault(fault: Partial<LinkFault>): void {
 		this.#fault = {...noFault, ...fault};
 	}
 
-	/** Takes the fault off. */
+	/** Removes the fault. */
 	clearFault(): void {
 		this.#fault = noFault;
 	}
 
-	/** Makes the connections it has silent for good, and neither end hears when the other one gives up; new ones work. */
+	/** Stalls the open connections permanently, without passing on when either end closes; new connections work. */
 	sever(): void {
 		for (const socket of this.#sockets) {
 			this.#severed.add(socket);
 		}
 	}
 
-	/** Resets all its connections. */
+	/** Resets all connections. */
 	reset(): void {
 		for (const socket of this.#sockets) {
 			socket.resetAndDestroy();
 		}
 	}
 
-	/** Ends it. */
+	/** Stops listening and destroys all connections. */
 	close(): void {
 		this.#server.close();
 		for (const socket of this.#sockets) {
@@ -94,7 +94,7 @@
 		}
 	}
 
-	/** Order is kept: each piece waits for the one before it. */
+	/** Copies one direction in order: each chunk waits for the previous one. */
 	async #carry(from: Socket, to: Socket, isForth: boolean): Promise<void> {
 		try {
 			for await (const piece of from) {
@@ -110,7 +110,7 @@
 			await this.#hold(from, isForth);
 			to.end();
 		} catch {
-			// A broken connection is one of the faults; the error listener resets the other side.
+			// Broken connections are expected; the error listener resets the other side.
 		}
 	}
 
@@ -124,12 +124,12 @@
 		}
 
 		if (this.#severed.has(from)) {
-			await new Promise(() => {}); // eslint-disable-line @typescript-eslint/no-empty-function -- for good
+			await new Promise(() => {}); // eslint-disable-line @typescript-eslint/no-empty-function -- never resolves
 		}
 	}
 }
 
-/** Waits so many milliseconds. */
+/** Waits for `duration` milliseconds. */
 export async function pause(duration: number): Promise<void> {
 	await new Promise(resolve => {
 		setTimeout(resolve, duration);
--- a/soak/load.ts
+++ b/soak/load.ts
@@ -1,4 +1,4 @@
-/** Callers: they ask for addresses, keep connections, send requests of each kind and check what comes. */
+/** Simulates callers: they resolve node addresses, reuse connections, send requests of each kind and verify the responses. */
 import {Buffer} from 'node:buffer';
 import {randomUUID} from 'node:crypto';
 import seedrandom from 'seedrandom';
@@ -10,42 +10,42 @@
 import {pause} from './link.js';
 import {keptVersions, type CallRecord, type RunRecords} from './records.js';
 
-/** Time between two requests, in milliseconds. */
+/** Mean time between two requests, in milliseconds. */
 const meanGap = 9;
 
-/** Time between two questions for addresses, in milliseconds: the life of an answer. */
+/** Time between two address lookups, in milliseconds: the lifetime of a lookup result. */
 const resolveInterval = 1000;
 
-/** Prompts in tokens: short, long, and longer than one server's memory. */
+/** Prompt sizes in tokens: short, long, and larger than the memory of one server. */
 const promptSizes = [{tokens: 4000, share: 0.86}, {tokens: 60_000, share: 0.11}, {tokens: 330_000, share: 0.03}];
 
-/** Share of callers that leave before the answer. */
+/** Share of callers that disconnect before the response. */
 const leaveShare = 0.03;
 
-/** Time beyond its limit after which a caller gives up, in milliseconds: well past the bound, so that a request held for good is seen and the run ends. */
+/** Time after the deadline at which a caller gives up, in milliseconds; well past the bound, so that a stuck request is detected and the run still ends. */
 const giveUpAfter = 3000;
 
-/** Longest body in bytes. */
+/** Maximum size of a request body in bytes. */
 const maxBodyBytes = 20_000;
 
-/** Time after a change at which each node is asked for what it added, in milliseconds: right after it must be there. */
+/** Time after a change at which each node is sent a request for the added route, in milliseconds: just after the bound for the change. */
 const askAddedAfter = 2350;
 
-/** Pause between looks for changes, in milliseconds. */
+/** Polling interval for changes, in milliseconds. */
 const changePoll = 25;
 
-/** Time between two tries of a crashing request, the share of its callers that leave early, and after which time, in milliseconds. */
+/** Time between two attempts of a crashing request, the share of its callers that disconnect early, and the time until they do; times in milliseconds. */
 const crashingGap = 250;
 const crashingLeaveShare = 0.4;
 const crashingLeaveAfter = 60;
 
-/** What a node answers to a request that it takes for a crashing one. */
+/** Error code of a node that rejects a request as crashing. */
 const rejectedCode = '"ends_servers"';
 
-/** A kind of request: its path, its share of the traffic, and how long it may take in milliseconds. */
+/** A kind of request: its path, its share of the traffic, and its deadline in milliseconds. */
 type CallShape = {kind: CallRecord['kind']; path: string; share: number; limit: number};
 
-/** For a route that a version has added; its path has the version's number. */
+/** Requests for a route that a version has added; the path contains the version number. */
 const addedShape: CallShape = {
 	kind: 'added', path: '', share: 0.1, limit: 1500,
 };
@@ -66,7 +66,7 @@
 	addedShape,
 ];
 
-/** All callers of a run. */
+/** Generates the traffic of all callers of a run. */
 export class Load {
 	readonly #fleet: SoakFleet;
 	readonly #records: RunRecords;
@@ -82,7 +82,7 @@
 		this.#random = seedrandom(`load-${seed}`);
 	}
 
-	/** Sends requests until `stop`; resolves when the last one has ended. */
+	/** Sends requests until `stop` is called; resolves when the last request has ended. */
 	async run(): Promise<void> {
 		const asking = [this.#askAddresses(), this.#askEachForChanges()];
 		while (!this.#isOver) {
@@ -97,7 +97,7 @@
 		await this.#agent.destroy();
 	}
 
-	/** Sends a crashing request again and again, each time to a node drawn anew, in milliseconds. */
+	/** Sends a crashing request repeatedly for `duration` milliseconds, each time to a random node. */
 	async repeatCrashing(name: string, duration: number): Promise<void> {
 		const body = Buffer.from(formatCrashing(name));
 		for (const end = Date.now() + duration; Date.now() < end && !this.#isOver;) {
@@ -110,12 +110,12 @@
 		}
 	}
 
-	/** Sends nothing more. */
+	/** Stops sending requests. */
 	stop(): void {
 		this.#isOver = true;
 	}
 
-	/** Keeps the last answer for as long as there is no new one, as callers do. */
+	/** Refreshes the node addresses; like real callers, it keeps the last result when a lookup fails. */
 	async #askAddresses(): Promise<void> {
 		while (!this.#isOver) {
 			const {nodes} = this.#fleet;
@@ -127,14 +127,14 @@
 					this.#addresses = addresses;
 				}
 			} catch {
-				// The node is away; the next one is asked the next time.
+				// The node is down; the next lookup picks another node at random.
 			}
 
 			await pause(this.#addresses.length === 0 ? 50 : resolveInterval);
 		}
 	}
 
-	/** Few of the others meet the short time in which a node may be late. */
+	/** Requests each added route from every node; random requests would rarely hit the short time in which a late node is detected. */
 	async #askEachForChanges(): Promise<void> {
 		let asked = 0;
 		while (!this.#isOver) {
@@ -175,7 +175,7 @@
 		})?.tokens ?? promptSizes[0].tokens;
 	}
 
-	/** Mostly the newest versions that the store has taken, at times one whose route was dropped. */
+	/** Picks mostly recent versions that the store has accepted, and sometimes one whose route was removed. */
 	#pickVersion(): number {
 		const newest = this.#records.changes.findLast(({version}) => version !== undefined)?.version?.number ?? 1;
 		return Math.max(1, newest - Math.floor((this.#random() ** 4) * (keptVersions + 3)));
@@ -209,7 +209,7 @@
 			record.isComplete = true;
 			checkAnswer(record, answer, text, formatText(id, body));
 		} catch {
-			// Without a whole answer; what that means is judged from what the servers saw.
+			// No complete response; the records of the servers show whether that is a violation.
 		}
 
 		clearTimeout(givingUp);
@@ -219,7 +219,7 @@
 		}
 	}
 
-	/** Its answer is not judged: what counts is how often it reaches a server. */
+	/** Ignores the response: only the number of arrivals at servers is checked. */
 	async #sendCrashing(node: SoakNode, body: Uint8Array): Promise<void> {
 		const [shape] = shapes;
 		const record: CallRecord = {
@@ -232,7 +232,7 @@
 			});
 			await answer.body.dump();
 		} catch {
-			// It crashes its server.
+			// Expected: the request crashes its server.
 		}
 	}
 
@@ -248,7 +248,7 @@
 	}
 }
 
-/** Notes what is wrong with an answer that looks complete, and which service gave it. */
+/** Records the error in a complete response, if any, and the service that answered. */
 function checkAnswer(record: CallRecord, answer: Dispatcher.ResponseData, text: string, expected: string): void {
 	if (answer.statusCode !== 200) {
 		record.wrong = text.includes(rejectedCode) ? 'it is rejected as a crashing request' : undefined;
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak`: runs with random faults against real processes, by seed. */
+/** `npm run soak`: runs real processes under random faults drawn from a seed. */
 import {
 	mkdirSync, mkdtempSync, readFileSync, rmSync,
 } from 'node:fs';
@@ -10,13 +10,13 @@
 import {faultKinds, type FaultKind} from './plan.js';
 import {runOnce} from './run.js';
 
-/** Seeds that failed once, with their causes. */
+/** Seeds that exposed faults before, with their causes. */
 const regressionsFile = 'soak/regressions.toml';
 
-/** Violations printed of one run. */
+/** Maximum number of violations printed per run. */
 const maxPrinted = 20;
 
-/** The words of the command line. */
+/** Command-line options. */
 type Options = {
 	seed: number;
 	seeds: number;
@@ -29,7 +29,7 @@
 	regressions?: boolean;
 };
 
-/** A run to be made; sizes are those of the command line where they are not stated. */
+/** A run to execute; sizes default to the command-line options. */
 type SeedRun = {seed: number; seconds: number; nodes?: number; servers?: number};
 
 function listRuns(options: Options): SeedRun[] {
@@ -40,7 +40,7 @@
 	return Array.from({length: options.seeds}, (_, index) => ({seed: options.seed + index, seconds: options.seconds}));
 }
 
-/** Whether every promise was kept. */
+/** Executes a run and returns whether it had no violations. */
 async function runSeed(run: SeedRun, options: Options): Promise<boolean> {
 	const {
 		seed, seconds, nodes = options.nodes, servers = options.servers,
@@ -66,20 +66,20 @@
 	}
 
 	process.stdout.write(`${kept} of ${runs.length} seeds kept every promise\n`);
-	process.exit(kept < runs.length ? 1 : 0); // eslint-disable-line unicorn/no-process-exit -- sockets of processes that were killed may keep the loop alive
+	process.exit(kept < runs.length ? 1 : 0); // eslint-disable-line unicorn/no-process-exit -- sockets of killed processes may keep the event loop alive
 }
 
 async function main(): Promise<void> {
 	const program = new Command('soak');
 	program
 		.option('--seed <seed>', 'first seed', Number, Date.now() % 1_000_000)
-		.option('--seeds <count>', 'how many seeds, one after the other', Number, 1)
-		.option('--seconds <seconds>', 'traffic of each run', Number, 25)
+		.option('--seeds <count>', 'number of seeds, run one after the other', Number, 1)
+		.option('--seconds <seconds>', 'duration of the traffic of each run', Number, 25)
 		.option('--nodes <count>', 'nodes', Number, 6)
 		.option('--servers <count>', 'model servers', Number, 6)
-		.option('--routes <count>', 'routes that nobody asks for', Number, 0)
-		.option('--logs <folder>', 'keep the logs of all processes there')
-		.option('--regressions', `the seeds of ${regressionsFile} instead`)
+		.option('--routes <count>', 'additional routes without traffic', Number, 0)
+		.option('--logs <folder>', 'keep the logs of all processes in this folder')
+		.option('--regressions', `run the seeds of ${regressionsFile} instead`)
 		.addOption(new Option('--kinds <kinds...>', 'only these kinds of fault').choices(faultKinds))
 		.action(runSeeds);
 	await program.parseAsync(process.argv);
--- a/soak/processes.ts
+++ b/soak/processes.ts
@@ -1,17 +1,17 @@
-/** The processes of a run: started, spoken to and ended by their own ids. */
+/** Starts and stops the processes of a run and exchanges lines with them. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {createWriteStream, type WriteStream} from 'node:fs';
 import path from 'node:path';
 import process from 'node:process';
 import {createInterface} from 'node:readline';
 
-/** Time in which a process must say where it listens, in milliseconds. */
+/** Time within which a process must report its address, in milliseconds. */
 const startLimit = 15_000;
 
-/** What is run, and what its environment has besides that of the soak. */
+/** Program, arguments, and environment variables added to those of the soak. */
 type SoakCommand = {program: string; words: string[]; environment: Record<string, string>};
 
-/** One process. */
+/** A child process whose output goes to a log file. */
 export class SoakProcess {
 	/** Settles when the process has ended. */
 	readonly ended: Promise<true>;
@@ -25,7 +25,7 @@
 		this.#child = spawn(process.execPath, [program, ...words], {stdio: ['pipe', 'pipe', 'pipe'], env: {...process.env, ...environment}});
 		this.#log = createWriteStream(logFile, {flags: 'a'});
 		this.#child.stderr!.pipe(this.#log, {end: false});
-		// A pipe whose process is gone breaks; what was to be told to it no longer matters.
+		// Writing to a process that has ended fails; the message no longer matters.
 		this.#child.stdin!.on('error', () => {}); // eslint-disable-line @typescript-eslint/no-empty-function
 		createInterface({input: this.#child.stdout!}).on('line', line => {
 			this.#log.write(`${line}\n`);
@@ -44,12 +44,12 @@
 		return this.#isEnded;
 	}
 
-	/** Calls back with each line that it prints. */
+	/** Sets the callback for each line that the process prints. */
 	listen(onLine: (line: Record<string, unknown>) => void): void {
 		this.#onLine = onLine;
 	}
 
-	/** Waits for a line. */
+	/** Waits for the first line that matches; rejects when the process ends or the start times out. */
 	async waitForLine(isWanted: (line: Record<string, unknown>) => boolean): Promise<Record<string, unknown>> {
 		const onLine = this.#onLine;
 		return new Promise((resolve, reject) => {
@@ -78,12 +78,12 @@
 		}
 	}
 
-	/** Writes a line to its standard input. */
+	/** Writes a JSON line to standard input. */
 	send(order: Record<string, unknown>): void {
 		this.#child.stdin!.write(`${JSON.stringify(order)}\n`);
 	}
 
-	/** Ends it at once, also when it is paused. */
+	/** Kills the process, even when it is paused, and waits until it has ended. */
 	async kill(): Promise<void> {
 		this.signal('SIGKILL');
 		await this.ended;
@@ -91,10 +91,10 @@
 	}
 }
 
-/** Signals by which a soak is told to end; by itself none of them ends what it has started. */
+/** Signals that terminate a soak; by default they would leave its child processes running. */
 const endSignals = ['SIGINT', 'SIGTERM', 'SIGHUP'] as const;
 
-/** Starts processes that log into one folder, and ends them all: when told to, and whenever this process ends but by SIGKILL. */
+/** Starts processes that log into one folder, and kills them on `stop` and when this process ends, except by SIGKILL. */
 export class Processes {
 	readonly #folder: string;
 	readonly #all = new Set<SoakProcess>();
@@ -108,7 +108,7 @@
 		}
 	}
 
-	/** Starts a program; its lines go to a log of that name. What was under way when all were ended must start nothing more. */
+	/** Starts a program that logs to `name`.log. Throws after `stop`, so that pending work starts no new process. */
 	start(name: string, program: string, words: string[], environment: Record<string, string> = {}): SoakProcess {
 		if (this.#isOver) {
 			throw new Error(`the run is over, ${name} is not started`);
@@ -121,12 +121,12 @@
 		return started;
 	}
 
-	/** How many run. */
+	/** Number of running processes. */
 	get count(): number {
 		return this.#all.size;
 	}
 
-	/** Ends all that were started here. */
+	/** Kills all processes and allows no new ones. */
 	async stop(): Promise<void> {
 		this.#isOver = true;
 		await Promise.all([...this.#all].map(async started => started.kill()));
@@ -143,7 +143,7 @@
 	};
 
 	readonly #exit = () => {
-		process.exit(1); // eslint-disable-line unicorn/no-process-exit -- only so do the listeners for its end run
+		process.exit(1); // eslint-disable-line unicorn/no-process-exit -- runs the exit listeners, which kill the child processes
 	};
 }
 
--- a/soak/steady-ports.ts
+++ b/soak/steady-ports.ts
@@ -1,19 +1,19 @@
-/** Ports that stay free while the process that is to have them is away. */
+/** Allocates ports that stay free while the process that uses them is down. */
 import {createServer} from 'node:net';
 
 /**
- * Ports below those that the system gives to outgoing connections.
+ * Range below the ephemeral ports of the system.
  *
- * A node keeps its ports over its lives; of the others one is taken now and then by any connection of the machine
- * while the node is away, and it cannot start again.
+ * A node keeps its ports across restarts. An outgoing connection can occupy an ephemeral port while the node is down,
+ * and the node then fails to restart.
  */
 const minPort = 10_000;
 const maxPort = 32_000;
 
-/** Ports that this process has given out: whoever is to listen there may not do so yet, and no other one must be given them. */
+/** Ports already assigned; their processes may not listen yet, so probing alone could assign a port twice. */
 const assignedPorts = new Set<number>();
 
-/** So many ports of loopback that nobody listens on, each given out once. */
+/** Returns `count` free loopback ports; each port is assigned only once. */
 export async function findSteadyPorts(count: number): Promise<number[]> {
 	const ports: number[] = [];
 	while (ports.length < count) {
