--- a/soak/fleet.ts
+++ b/soak/fleet.ts
@@ -1,4 +1,4 @@
-/** The nodes, servers and the store of a run, each a process of its own, with links between them that can be disturbed. */
+/** Runs the nodes, the servers and the store as separate processes, connected by links that can inject faults. */
 import {writeFileSync} from 'node:fs';
 import path from 'node:path';
 import {request as sendRequest} from 'undici';
@@ -9,37 +9,37 @@
 import {keptVersions, type RunRecords} from './records.js';
 import {findSteadyPorts} from './steady-ports.js';
 
-/** Where the bundles are; `npm run soak` makes them. */
+/** Paths of the bundles, which `npm run soak` builds. */
 const gatewayProgram = 'target/cresshook.cjs';
 const standinProgram = 'dist/soak-standin.cjs';
 const detourModule = 'dist/soak-detour.cjs';
 
-/** Grace of a planned stop, in seconds. */
+/** Grace period of a graceful shutdown, in seconds. */
 const graceSeconds = 4;
 
-/** The same in milliseconds. */
+/** Grace period of a graceful shutdown, in milliseconds. */
 export const stopGrace = graceSeconds * 1000;
 
-/** Time between the end of a process and its next start, in milliseconds. */
+/** Time between the end of a node process and its restart, in milliseconds. */
 const restartPause = 300;
 
-/** Time from a server's crash to the start of the next one, in milliseconds. */
+/** Time from a server crash to the start of its replacement, in milliseconds. */
 const crashPause = 1500;
 
-/** Time for an answer of the store, and between two tries of a change, in milliseconds. */
+/** Timeout for a store response, and time between two attempts to write a change, in milliseconds. */
 const storeTimeout = 1500;
 const changePause = 100;
 
-/** Time between two writes of an entry of nobody, in milliseconds. */
+/** Time between two writes of a foreign entry, in milliseconds. */
 const foreignPause = 400;
 
-/** Time in which each node must use just the ready servers once all is calm, in milliseconds: a watch of calm times, and the grace of servers that lapsed in an outage. */
+/** Time within which each node must use exactly the ready servers after the last fault, in milliseconds: one store watch without changes, plus the grace period of servers that expired in an outage. */
 const settleTime = 8000;
 
-/** Services whose turn changes with each version of the configuration. */
+/** Services that take turns with each configuration version. */
 const versionServices = ['turn-0', 'turn-1', 'turn-2'];
 
-/** What another writer may leave in the place of an entry: no object, fields missing or of another type, a state that nobody knows. */
+/** Invalid entries of a foreign client: not an object, missing fields, fields of a wrong type, an unknown state. */
 const foreignSpecs: unknown[] = [
 	'ready',
 	{state: 'ready'},
@@ -54,42 +54,42 @@
 	},
 ];
 
-/** Path of the route that a version adds. */
+/** Returns the path of the route that a version adds. */
 export function formatAddedPath(version: number): string {
 	return `/added/${version}/`;
 }
 
-/** The key that a version adds. */
+/** Returns the API key that a version adds. */
 export function formatAddedKey(version: number): string {
 	return `key-${version}`;
 }
 
-/** Ports of one node; they stay through its lives. */
+/** Ports of one node; they stay the same across restarts. */
 type NodePorts = {callers: number; ready: number; addresses: number; peers: number; heartbeat: number; metrics: number};
 
-/** One node. */
+/** A gateway node and its links. */
 export type SoakNode = {
 	name: string;
 	ports: NodePorts;
 	callersLink: Link;
 	storeLink: Link;
-	/** From the other nodes. */
+	/** Link from the other nodes. */
 	peersLink: Link;
 	process: SoakProcess;
-	/** Whether it is being stopped or started again. */
+	/** Whether the node is being stopped or restarted. */
 	isChanging: boolean;
 };
 
-/** Where a node lives, whichever life it is in. */
-type NodePlace = Omit<SoakNode, 'process' | 'isChanging'>;
+/** The properties of a node that survive a restart. */
+type NodeEndpoints = Omit<SoakNode, 'process' | 'isChanging'>;
 
-/** One life of a backend server; `id` is its name and its start. */
+/** One incarnation of a backend server; `id` consists of its name and its start time. */
 export type SoakServer = {id: string; name: string; service: string; link: Link; port: number; process: SoakProcess};
 
-/** Sizes of a fleet. */
+/** Numbers of nodes, model servers and additional routes without traffic. */
 export type FleetSize = {nodes: number; modelServers: number; fillerRoutes: number};
 
-/** Everything that runs. */
+/** All processes and links of a run. */
 export class SoakFleet {
 	readonly nodes: SoakNode[] = [];
 	servers: SoakServer[] = [];
@@ -101,7 +101,7 @@
 	readonly #replaced = new Set<SoakServer>();
 	#store: SoakProcess | undefined;
 	#storeAddress = '';
-	/** Ports of links by the ports that they lead to, for connections between nodes. */
+	/** Link ports by target port, for connections between nodes. */
 	#detours: Record<string, number> = {};
 	#version = 0;
 	#serverCount = 0;
@@ -123,9 +123,9 @@
 		await this.changeConfig();
 		const services = [...Array.from({length: this.#size.modelServers}, () => 'model'), 'app', 'app', ...versionServices];
 		this.servers = await Promise.all(services.map(async service => this.#startServer(service)));
-		const places: NodePlace[] = [];
+		const places: NodeEndpoints[] = [];
 		for (let index = 0; index < this.#size.nodes; index++) {
-			places.push(await this.#findPlace(`edge-${index}`));
+			places.push(await this.#allocateEndpoints(`edge-${index}`));
 		}
 
 		this.#detours = Object.fromEntries(places.map(({ports, peersLink}) => [ports.peers, peersLink.port]));
@@ -134,31 +134,31 @@
 		await Promise.all(this.nodes.map(async node => waitUntilReady(node)));
 	}
 
-	/** Rejects when the store's process ends, which no fault makes it do. */
+	/** Rejects when the store process ends, which no injected fault causes. */
 	async watchStore(): Promise<never> {
 		await this.#store?.ended;
 		throw new Error('the stand-in store ended by itself; its log says why');
 	}
 
-	/** Writes the next version of the configuration as the operator does, after those before it: written over a later one, an earlier one would stand there. */
+	/** Writes the next configuration version, after all pending writes: reordered writes would leave an older version in the store. */
 	async changeConfig(): Promise<void> {
 		const earlier = this.#changing;
 		this.#changing = this.#changeAfter(earlier);
 		await this.#changing;
 	}
 
-	/** Gives the store a trouble, or takes it off. */
-	tellStore(order: Record<string, unknown>): void {
+	/** Sends a command to the store that starts or ends a fault. */
+	sendToStore(order: Record<string, unknown>): void {
 		this.#store?.send(order);
 	}
 
-	/** The server with a number; those of the versions stay, without them nobody could tell which version is in force. */
+	/** Returns a server by index. Servers of the version services are excluded: their responses show which version is active. */
 	findServer(target: number): SoakServer {
 		const servers = this.servers.filter(server => !versionServices.includes(server.service));
 		return servers[target % servers.length];
 	}
 
-	/** The link of a kind with a number. */
+	/** Returns a link of a kind by index. */
 	findLink(kind: LinkKind, target: number): {link: Link; node?: SoakNode; server?: SoakServer} {
 		if (kind === 'server') {
 			const server = this.findServer(target);
@@ -169,7 +169,7 @@
 		return {link: {callers: node.callersLink, store: node.storeLink, peers: node.peersLink}[kind], node};
 	}
 
-	/** The link of a kind with a number, or all of the kind. */
+	/** Returns a link of a kind by index or, with `isEach`, all links of the kind. */
 	findLinks(kind: LinkKind, target: number, isEach: boolean): Array<ReturnType<SoakFleet['findLink']>> {
 		if (!isEach) {
 			return [this.findLink(kind, target)];
@@ -180,7 +180,7 @@
 			: this.nodes.map((_, index) => this.findLink(kind, index));
 	}
 
-	/** Starts a node's next life when the present one has ended. */
+	/** Restarts a node after its process has ended, and waits until it is ready. */
 	async restartNode(node: SoakNode): Promise<void> {
 		await node.process.ended;
 		await pause(restartPause);
@@ -188,19 +188,19 @@
 		await waitUntilReady(node);
 	}
 
-	/** Starts another server in the place of one. */
+	/** Replaces a server by a new one with another name and address. */
 	async replaceServer(server: SoakServer): Promise<void> {
-		await this.#putInPlace(server, async () => this.#startServer(server.service));
+		await this.#replaceOnce(server, async () => this.#startServer(server.service));
 	}
 
-	/** Starts another life of a server whose process has ended: same name, same address. */
+	/** Restarts a server whose process has ended, with the same name and address. */
 	async restartServer(server: SoakServer): Promise<void> {
-		await this.#putInPlace(server, async () => this.#startLife(server));
+		await this.#replaceOnce(server, async () => this.#startProcess(server));
 	}
 
 	/**
-	 * Writes over the entry of a server, which writes its own again soon, and an entry of nobody, which is written
-	 * again until the end: a node that takes no change because of it must be seen to.
+	 * Overwrites the entry of a server, which soon restores it, and adds an entry without a server, which is rewritten
+	 * until the end of the run, so that a node that accepts no changes because of it is detected.
 	 */
 	async writeForeignEntries({name}: SoakServer, draw: number): Promise<void> {
 		const spec = foreignSpecs[draw % foreignSpecs.length];
@@ -208,7 +208,7 @@
 		void this.#keepForeignEntry(`foreign-${draw}`, spec);
 	}
 
-	/** Asks each node how many servers it uses; noted where that does not become the number of those that are ready. */
+	/** Records each node whose number of usable servers does not reach the number of ready servers in time. */
 	async listUnusedServers(): Promise<void> {
 		const ready = this.servers.filter(server => !server.process.isEnded).length;
 		await Promise.all(this.nodes.map(async node => {
@@ -224,7 +224,7 @@
 		}));
 	}
 
-	/** Asks each live server which memory it still has set aside. */
+	/** Records the memory reservations that running servers still hold. */
 	async listLeftMemory(): Promise<void> {
 		for (const server of this.servers) {
 			if (!server.process.isEnded) {
@@ -244,7 +244,7 @@
 		}
 	}
 
-	/** It is recorded when the store has taken it. */
+	/** Writes a version after the earlier one, and records it when the store has accepted it. */
 	async #changeAfter(earlier: Promise<void> | undefined): Promise<void> {
 		await earlier;
 		const number = ++this.#version;
@@ -275,7 +275,7 @@
 		this.#records.changes.push({at: Date.now(), sentAt, version: {number, service}});
 	}
 
-	/** The store takes it away as often, since it has no count that goes on. */
+	/** Rewrites a foreign entry, because the store expires entries whose sequence number does not increase. */
 	async #keepForeignEntry(name: string, spec: unknown): Promise<void> {
 		while (!this.#isOver) {
 			await this.#writeEntry('POST', '', {metadata: {name}, spec});
@@ -283,7 +283,7 @@
 		}
 	}
 
-	#noteLine(server: string, service: string, line: Record<string, unknown>): void {
+	#recordLine(server: string, service: string, line: Record<string, unknown>): void {
 		const at = Number(line.at);
 		const node = String(line.node);
 		switch (line.event) {
@@ -302,7 +302,7 @@
 			}
 
 			case 'crash': {
-				this.#noteCrash(server, line);
+				this.#recordCrash(server, line);
 				break;
 			}
 
@@ -315,7 +315,7 @@
 		}
 	}
 
-	#noteCrash(server: string, line: Record<string, unknown>): void {
+	#recordCrash(server: string, line: Record<string, unknown>): void {
 		const hasCrashed = line.hasCrashed === true;
 		this.#records.crashes.push({
 			request: String(line.request), server, node: String(line.node), at: Number(line.at), hasCrashed,
@@ -336,8 +336,8 @@
 		}
 	}
 
-	/** Only once: another fault may have ended the same life, and what it starts would be one server too many. */
-	async #putInPlace(server: SoakServer, start: () => Promise<SoakServer>): Promise<void> {
+	/** Replaces a server at most once: overlapping faults of one incarnation would otherwise start an extra server. */
+	async #replaceOnce(server: SoakServer, start: () => Promise<SoakServer>): Promise<void> {
 		if (!this.servers.includes(server) || this.#replaced.has(server)) {
 			return;
 		}
@@ -347,7 +347,7 @@
 		this.servers = this.servers.map(each => each === server ? next : each);
 	}
 
-	/** Whether the store has acknowledged it; written again, it changes nothing. */
+	/** Returns whether the store has acknowledged the version; the write is idempotent. */
 	async #writeConfig(number: number, body: string): Promise<boolean> {
 		const target = `http://${this.#storeAddress}/v1/objects/config`;
 		try {
@@ -357,7 +357,7 @@
 			await answer.body.dump();
 			return answer.statusCode < 300;
 		} catch {
-			// The store is one of the things that fail here.
+			// Store failures are injected.
 			return false;
 		}
 	}
@@ -368,7 +368,7 @@
 		return link;
 	}
 
-	async #findPlace(name: string): Promise<NodePlace> {
+	async #allocateEndpoints(name: string): Promise<NodeEndpoints> {
 		const [callers, ready, addresses, peers, heartbeat, metrics] = await findSteadyPorts(6);
 		const ports = {
 			callers, ready, addresses, peers, heartbeat, metrics,
@@ -381,7 +381,7 @@
 		};
 	}
 
-	#startNode({name, ports, storeLink}: NodePlace): SoakProcess {
+	#startNode({name, ports, storeLink}: NodeEndpoints): SoakProcess {
 		const file = path.join(this.#folder, `${name}.toml`);
 		writeFileSync(file, `
 box = "${name}"
@@ -404,11 +404,11 @@
 slack = 100
 window_seconds = 10
 `);
-		// A node tells the others the very address that it listens on, so their way through the link is put in from outside.
+		// A node advertises the address it listens on, so the preloaded module redirects connections through the links.
 		return this.processes.start(name, gatewayProgram, ['gateway', '--settings', file], {NODE_OPTIONS: `--require ${path.resolve(detourModule)}`, SOAK_DETOURS: JSON.stringify(this.#detours)});
 	}
 
-	/** The store is one of the things that fail here; then nobody has written. */
+	/** Writes an entry; errors are ignored, because store failures are injected. */
 	async #writeEntry(method: 'PUT' | 'POST', path: string, object: unknown): Promise<void> {
 		try {
 			const answer = await sendRequest(`http://${this.#storeAddress}/v1/objects/servers${path}`, {method, body: JSON.stringify(object), headersTimeout: storeTimeout});
@@ -420,19 +420,19 @@
 		const name = `i-${++this.#serverCount}`;
 		const [port] = await findSteadyPorts(1);
 		const link = await this.#openLink(() => port);
-		return this.#startLife({
+		return this.#startProcess({
 			name, service, link, port,
 		});
 	}
 
-	async #startLife({name, service, link, port}: Pick<SoakServer, 'name' | 'service' | 'link' | 'port'>): Promise<SoakServer> {
+	async #startProcess({name, service, link, port}: Pick<SoakServer, 'name' | 'service' | 'link' | 'port'>): Promise<SoakServer> {
 		const born = Date.now();
 		const id = `${name}@${born}`;
 		const started = this.processes.start(id, standinProgram, [
 			'server', '--id', name, '--born', String(born), '--service', service, '--store', this.#storeAddress, '--advertise', link.address, '--port', String(port),
 		]);
 		started.listen(line => {
-			this.#noteLine(id, service, line);
+			this.#recordLine(id, service, line);
 		});
 		await started.waitForLine(({address}) => address !== undefined);
 		return {
@@ -441,7 +441,7 @@
 	}
 }
 
-/** Not a number when the node does not answer: it may have found its port taken by another process of the machine. */
+/** Returns NaN when the node does not respond, for example because another process occupies its port. */
 async function readUsableServers(node: SoakNode): Promise<number> {
 	try {
 		const answer = await sendRequest(`http://127.0.0.1:${node.ports.metrics}/metrics`, {headersTimeout: 2000});
@@ -460,12 +460,12 @@
 				return;
 			}
 		} catch {
-			// It does not listen yet.
+			// The node does not listen yet.
 		}
 
 		await pause(50);
 	}
 
-	// Judged further, the run would blame the fleet for a port that another process of the machine took.
+	// Continuing would report violations that come from a port occupied by another process.
 	throw new Error(`${node.name} was not ready in time; its log says why`);
 }
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,4 +1,4 @@
-/** One run: starts a fleet, sends traffic, disturbs it by its seed, and judges what was seen. */
+/** Executes one run: starts a fleet, sends traffic, injects the faults of the seed, and checks the records. */
 import {
 	SoakFleet, stopGrace, type FleetSize, type SoakNode, type SoakServer,
 } from './fleet.js';
@@ -8,65 +8,65 @@
 import {drawFaults, type Fault, type FaultKind} from './plan.js';
 import {createRecords, type FaultRecord, type RunRecords} from './records.js';
 
-/** What one run is. */
+/** Options of a run. */
 export type RunOptions = {
 	seed: number;
-	/** Milliseconds of traffic. */
+	/** Duration of the traffic, in milliseconds. */
 	length: number;
 	size: FleetSize;
 	/** Folder for the logs of all processes. */
 	folder: string;
 	/**
-	 * Kinds of fault that come.
+	 * Kinds of fault to inject.
 	 *
 	 * @default all
 	 */
 	kinds?: FaultKind[];
 };
 
-/** What came of it. */
+/** Summary of a run: `whole` counts complete responses with status 200. */
 export type RunResult = {seed: number; calls: number; whole: number; faults: number; processes: number; violations: Violation[]};
 
-/** Calm time at the end, in milliseconds: reservations of dead nodes have run out by then. */
-const calmEnd = 4500;
+/** Time without faults at the end of a run, in milliseconds; long enough for reservations of dead nodes to expire. */
+const settleTime = 4500;
 
-/** How long connections that were severed may stay in use at nodes that have not met them, in milliseconds. */
-const severedMemory = 2000;
+/** Time during which nodes may still use severed connections that they have not detected yet, in milliseconds. */
+const severedExcuseTime = 2000;
 
-/** Limits that servers name, in requests a second. */
-const namedLimits = [0, 0.5, 1, 2, 5];
+/** Rate limits that servers announce, in requests per second. */
+const rateLimits = [0, 0.5, 1, 2, 5];
 
-/** Time between two changes while the store is silent to most nodes, in milliseconds. */
+/** Time between two configuration changes during a partial store outage, in milliseconds. */
 const partialChangeGap = 500;
 
-/** How late the store's second answer may be believed to be over, in milliseconds. */
+/** Time by which the recorded start of a fault precedes its injection, in milliseconds, because the end of the store's second response may be noticed late. */
 const recordMargin = 200;
 
-/** Runs and judges. */
+/** Executes a run and checks its records; rejects when the fleet fails to start or the store ends. */
 export async function runOnce(options: RunOptions): Promise<RunResult> {
 	const records = createRecords();
 	const fleet = new SoakFleet(options.folder, records, options.size);
 	try {
 		await fleet.start();
-		return await Promise.race([playRun(fleet, records, options), fleet.watchStore()]);
+		return await Promise.race([executeRun(fleet, records, options), fleet.watchStore()]);
 	} finally {
 		await fleet.stop();
 	}
 }
 
-async function playRun(fleet: SoakFleet, records: RunRecords, options: RunOptions): Promise<RunResult> {
+async function executeRun(fleet: SoakFleet, records: RunRecords, options: RunOptions): Promise<RunResult> {
 	const load = new Load(fleet, records, options.seed);
 	const loading = load.run();
 	const faults = drawFaults(options.seed, options.length, options.kinds);
 	try {
-		// Together, so that a fault that cannot be played ends the run when it comes, and not as an error that nobody waits for.
-		await Promise.all([disturb({fleet, records, load}, faults), pause(options.length)]);
+		// Awaited together, so that a failed injection ends the run at once instead of as an unhandled rejection.
+		await Promise.all([injectFaults({fleet, records, load}, faults), pause(options.length)]);
 	} finally {
 		load.stop();
 	}
 
 	await loading;
-	await pause(calmEnd);
+	await pause(settleTime);
 	await fleet.listLeftMemory();
 	await fleet.listUnusedServers();
 	return {
@@ -79,45 +79,45 @@
 	};
 }
 
-/** What faults are played on. */
-type Played = {fleet: SoakFleet; records: RunRecords; load: Load};
+/** What a fault injector acts on. */
+type FaultContext = {fleet: SoakFleet; records: RunRecords; load: Load};
 
-async function disturb(played: Played, faults: Fault[]): Promise<void> {
+async function injectFaults(played: FaultContext, faults: Fault[]): Promise<void> {
 	const start = Date.now();
 	await Promise.all(faults.map(async fault => {
 		await pause(start + fault.at - Date.now());
-		await new Disturbance(played, fault).play();
+		await new FaultInjector(played, fault).inject();
 	}));
 }
 
-/** One fault as it is played. */
-class Disturbance {
+/** Injects one fault. */
+class FaultInjector {
 	readonly #fleet: SoakFleet;
 	readonly #records: RunRecords;
 	readonly #load: Load;
 	readonly #fault: Fault;
 
-	constructor({fleet, records, load}: Played, fault: Fault) {
+	constructor({fleet, records, load}: FaultContext, fault: Fault) {
 		this.#fleet = fleet;
 		this.#records = records;
 		this.#load = load;
 		this.#fault = fault;
 	}
 
-	async play(): Promise<void> {
+	async inject(): Promise<void> {
 		const {kind, target} = this.#fault;
 		const [what, ...rest] = kind.split('_');
 		const how = rest.join('_');
 		switch (what) {
 			case 'node': {
-				await this.#disturbNode(this.#fleet.nodes[target % this.#fleet.nodes.length], how);
+				await this.#injectNodeFault(this.#fleet.nodes[target % this.#fleet.nodes.length], how);
 
 				break;
 			}
 
 			case 'server': {
 				const server = this.#fleet.findServer(target);
-				await (how === 'limit' ? this.#limitServer(server) : this.#disturbServer(server, how));
+				await (how === 'limit' ? this.#limitServer(server) : this.#injectServerFault(server, how));
 
 				break;
 			}
@@ -136,23 +136,23 @@
 			}
 
 			case 'store': {
-				await (how === 'partial' ? this.#silencePartly() : this.#disturbStore(how));
+				await (how === 'partial' ? this.#injectPartialOutage() : this.#injectStoreFault(how));
 
 				break;
 			}
 
 			case 'link': {
-				await (how === 'severed' ? this.#severLinks() : this.#disturbLink());
+				await (how === 'severed' ? this.#severLinks() : this.#injectLinkFault());
 
 				break;
 			}
 
-			default: {await (kind === 'all_kill' ? Promise.all(this.#fleet.nodes.map(async node => this.#disturbNode(node, 'kill'))) : this.#fleet.changeConfig());
+			default: {await (kind === 'all_kill' ? Promise.all(this.#fleet.nodes.map(async node => this.#injectNodeFault(node, 'kill'))) : this.#fleet.changeConfig());
 			}
 		}
 	}
 
-	/** Records the fault from now until `end` has happened. */
+	/** Records the fault for as long as `during` runs. */
 	async #record(who: Pick<FaultRecord, 'node' | 'server' | 'served'>, during: () => Promise<void>): Promise<void> {
 		const record: FaultRecord = {
 			kind: this.#fault.kind, from: Date.now() - recordMargin, to: Number.POSITIVE_INFINITY, ...who,
@@ -162,7 +162,7 @@
 		record.to = Date.now();
 	}
 
-	async #disturbNode(node: SoakNode, how: string): Promise<void> {
+	async #injectNodeFault(node: SoakNode, how: string): Promise<void> {
 		if (node.isChanging) {
 			return;
 		}
@@ -204,7 +204,7 @@
 		await this.#fleet.restartNode(node);
 	}
 
-	async #disturbServer(server: SoakServer, how: string): Promise<void> {
+	async #injectServerFault(server: SoakServer, how: string): Promise<void> {
 		await this.#record({server: server.id}, async () => {
 			if (how === 'drain') {
 				await this.#fleet.replaceServer(server);
@@ -226,23 +226,23 @@
 		});
 	}
 
-	/** Excuses nothing: a limited server serves what it is sent. */
+	/** Not recorded as a fault: a rate-limited server still serves every request. */
 	async #limitServer(server: SoakServer): Promise<void> {
-		server.process.send({limit: namedLimits[this.#fault.target % namedLimits.length]});
+		server.process.send({limit: rateLimits[this.#fault.target % rateLimits.length]});
 		await pause(this.#fault.duration);
 		server.process.send({});
 	}
 
-	async #disturbStore(how: string): Promise<void> {
+	async #injectStoreFault(how: string): Promise<void> {
 		await this.#record({}, async () => {
-			this.#fleet.tellStore(how === 'forget' ? {forget: true} : {trouble: how});
+			this.#fleet.sendToStore(how === 'forget' ? {forget: true} : {trouble: how});
 			await pause(this.#fault.duration);
-			this.#fleet.tellStore({trouble: 'none'});
+			this.#fleet.sendToStore({trouble: 'none'});
 		});
 	}
 
-	/** One node is served: what changes meanwhile must be in force at all in time. */
-	async #silencePartly(): Promise<void> {
+	/** The store still responds to one node; changes made meanwhile must take effect at all nodes in time. */
+	async #injectPartialOutage(): Promise<void> {
 		const {nodes} = this.#fleet;
 		const {target, duration} = this.#fault;
 		const served = nodes[target % nodes.length];
@@ -265,8 +265,8 @@
 	}
 
 	/**
-	 * Excuses nothing but what a server was cut off from: every promise to callers holds on silent connections, too,
-	 * and a configuration that changes right after must be in force in time.
+	 * Records a fault only for severed servers: stalled connections excuse no violation towards callers,
+	 * and a configuration change right after must take effect in time.
 	 */
 	async #severLinks(): Promise<void> {
 		const {link, target, duration} = this.#fault;
@@ -274,14 +274,14 @@
 		await Promise.all(severed.map(async each => {
 			each.link.sever();
 			if (each.server !== undefined) {
-				await this.#record({server: each.server.id}, async () => pause(severedMemory));
+				await this.#record({server: each.server.id}, async () => pause(severedExcuseTime));
 			}
 		}));
 		await pause(duration);
 		await this.#fleet.changeConfig();
 	}
 
-	async #disturbLink(): Promise<void> {
+	async #injectLinkFault(): Promise<void> {
 		const {kind, link: linkKind, target, duration} = this.#fault;
 		const {link, node, server} = this.#fleet.findLink(linkKind ?? 'callers', target);
 		await this.#record({node: node?.name, server: server?.id}, async () => {
--- a/soak/standin.ts
+++ b/soak/standin.ts
@@ -1,8 +1,8 @@
 /**
- * A stand-in for the platform's store or for one backend server, as a process of its own.
+ * Stand-in process for the store of the platform or for one backend server.
  *
- * A backend server registers itself, keeps its entry fresh, and prints a line for each
- * request that it begins to work on. SIGTERM makes it leave as planned.
+ * A backend server registers itself, sends heartbeats, and prints a line for each request
+ * that it starts to run. SIGTERM drains it.
  */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -16,21 +16,21 @@
 import {pause} from './link.js';
 
 /** Time between two heartbeats of a server, in milliseconds. */
-const heartbeatEvery = 400;
+const heartbeatInterval = 400;
 
-/** Heartbeats missed after which the store takes an entry away. */
+/** Number of missed heartbeats after which the store removes an entry. */
 const missedHeartbeats = 3;
 
-/** Where the links of the soak reach its servers and its store. */
+/** Host on which the servers and the store listen for the links of the soak. */
 const linkedHost = '127.0.0.1';
 
-/** How long a leaving server serves on, in milliseconds: well past the time in which nothing new may come, so that it would be seen. */
-const leaveAfter = 5000;
+/** Time that a draining server keeps serving, in milliseconds; well past the bound for new requests, so that violations are seen. */
+const drainTime = 5000;
 
-/** Requests that a server works on at once. */
+/** Number of concurrent requests that a server announces. */
 const slots = 11;
 
-/** How long a server keeps an idle connection, in milliseconds. */
+/** Keep-alive timeout of idle connections, in milliseconds. */
 const keepAliveTime = 4000;
 
 /** Memory of a server in tokens. */
@@ -39,12 +39,12 @@
 /** Time between two events of a stream, in milliseconds. */
 const eventGap = 35;
 
-/** Longest time in which a plain request is worked on, in milliseconds: faults must meet some of them half done. */
-const longestPlainTime = 300;
+/** Maximum processing time of a request without streaming, in milliseconds; long enough for faults to hit some in progress. */
+const maxPlainTime = 300;
 
-/** Time from the start of a crashing request to the crash, and time in which its last line is written, in milliseconds. */
+/** Time from the start of a crashing request to the crash, and time to flush the last line before it, in milliseconds. */
 const crashAfter = 100;
-const lastLineTime = 5;
+const flushTime = 5;
 
 function print(line: Record<string, unknown>): void {
 	process.stdout.write(`${JSON.stringify(line)}\n`);
@@ -56,7 +56,7 @@
 	const seen = new Map<string, {sequence: unknown; missed: number}>();
 	setInterval(() => {
 		expireEntries(store, seen);
-	}, heartbeatEvery);
+	}, heartbeatInterval);
 	for await (const line of readLines()) {
 		const order = JSON.parse(line) as {trouble?: StandinStore['trouble']; forget?: boolean};
 		store.trouble = order.trouble ?? store.trouble;
@@ -66,10 +66,10 @@
 	}
 }
 
-/** Called once a heartbeat: entries that were not written since, three times in a row, go. */
+/** Removes entries that have missed three heartbeats in a row; called once per heartbeat interval. */
 function expireEntries(store: StandinStore, seen: Map<string, {sequence: unknown; missed: number}>): void {
 	for (const name of store.listNames('servers')) {
-		// Another writer's entry may have no count, or be no object at all.
+		// A foreign entry may have no sequence number, or may not be an object.
 		const spec = store.get('servers', name);
 		const sequence = typeof spec === 'object' && spec !== null && 'sequence' in spec ? spec.sequence : undefined;
 		const before = seen.get(name);
@@ -93,7 +93,7 @@
 
 type ServerOptions = {id: string; born: string; service: string; store: string; advertise: string; port: string};
 
-/** One backend server: serves requests, takes orders on its memory, registers itself. */
+/** A backend server that serves requests, manages memory reservations and registers itself. */
 class SoakServer {
 	readonly #options: ServerOptions;
 	readonly #reservations = new Map<string, {tokens: number; until: number}>();
@@ -129,7 +129,7 @@
 	async #register(): Promise<void> {
 		for (;;) {
 			await this.#writeEntry();
-			await pause(heartbeatEvery);
+			await pause(heartbeatInterval);
 		}
 	}
 
@@ -142,11 +142,11 @@
 			},
 		});
 		try {
-			// An entry of an earlier life may still stand there.
+			// The entry of an earlier incarnation may still exist.
 			const created = this.#sequence === 1 ? await this.#send(`http://${store}/v1/objects/servers`, 'POST', body) : undefined;
 			return created === true || await this.#send(`http://${store}/v1/objects/servers/${id}`, 'PUT', body);
 		} catch {
-			// The store is one of the things that fail here; the next heartbeat tries again.
+			// Store failures are injected; the next heartbeat retries.
 			return false;
 		}
 	}
@@ -160,16 +160,16 @@
 	async #leave(): Promise<void> {
 		this.#isLeaving = true;
 		while (!await this.#writeEntry()) {
-			await pause(heartbeatEvery);
+			await pause(heartbeatInterval);
 		}
 
 		print({event: 'leaving', at: Date.now()});
-		await pause(leaveAfter);
+		await pause(drainTime);
 		while (this.#running > 0) {
 			await pause(eventGap);
 		}
 
-		process.exit(0); // eslint-disable-line unicorn/no-process-exit -- it is a program; its server would keep it alive
+		process.exit(0); // eslint-disable-line unicorn/no-process-exit -- the open server would keep the process alive
 	}
 
 	async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -218,7 +218,7 @@
 	async #serve(request: IncomingMessage, body: Uint8Array, response: ServerResponse): Promise<void> {
 		const id = String(request.headers['cresshook-attempt-id'] ?? '');
 		const node = String(request.headers['x-soak-node'] ?? '');
-		const head = {'cresshook-attempt-id': id, 'cresshook-response-seal': 'seal', ...this.#nameLimit(node)};
+		const head = {'cresshook-attempt-id': id, 'cresshook-response-seal': 'seal', ...this.#announceLimit(node)};
 		const isOther = request.headers['cresshook-target-instance'] !== this.#options.id;
 		if (isOther || this.#running >= slots * 2) {
 			response.writeHead(isOther ? 421 : 503, {...head, 'cresshook-not-executed': '1', 'content-length': '0'});
@@ -245,8 +245,8 @@
 		}
 	}
 
-	/** Counts an arrival and names the limit in its answer. */
-	#nameLimit(node: string): Record<string, string> {
+	/** Prints an arrival and returns the header that announces the rate limit. */
+	#announceLimit(node: string): Record<string, string> {
 		if (this.#limit === undefined) {
 			return {};
 		}
@@ -258,7 +258,7 @@
 		return {'server-limit': String(this.#limit)};
 	}
 
-	/** Ends the process, whether the caller is still there or not. */
+	/** Ends the process, even if the caller has disconnected. */
 	async #crash(name: string, node: string): Promise<void> {
 		print({
 			event: 'crash', request: name, node, at: Date.now(), hasCrashed: false,
@@ -267,12 +267,12 @@
 		print({
 			event: 'crash', request: name, node, at: Date.now(), hasCrashed: true,
 		});
-		await pause(lastLineTime);
-		process.exit(1); // eslint-disable-line unicorn/no-process-exit -- it is what the request does
+		await pause(flushTime);
+		process.exit(1); // eslint-disable-line unicorn/no-process-exit -- simulates a crash
 	}
 
 	async #sendWhole(response: ServerResponse, head: Record<string, string>, text: string): Promise<void> {
-		await pause(Math.random() * longestPlainTime);
+		await pause(Math.random() * maxPlainTime);
 		response.writeHead(200, {...head, 'content-length': String(text.length)});
 		response.end(text);
 	}
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -28,15 +28,15 @@
 	};
 }
 
-/** Promises that a run is judged to have broken. */
-function listBroken(fill: (records: RunRecords) => void): string[] {
+/** Returns the guarantees that a run violates. */
+function listViolations(fill: (records: RunRecords) => void): string[] {
 	const records = createRecords();
 	fill(records);
 	return evaluateRun(records, grace).map(violation => violation.promise);
 }
 
-test('a run in which everything went as promised breaks nothing', () => {
-	expect(listBroken(records => {
+test('a run without errors has no violations', () => {
+	expect(listViolations(records => {
 		records.calls.push(createCall());
 		records.runs.push({
 			id: 'c-1', server: 'i-1', service: 'app', node: 'edge-0', at: 10_010,
@@ -45,34 +45,34 @@
 	})).toEqual([]);
 });
 
-test('an answer of another request is found', () => {
-	expect(listBroken(records => records.calls.push(createCall({wrong: 'it belongs to c-2'})))).toEqual(['a complete answer is whole and its own']);
+test('a response to another request is a violation', () => {
+	expect(listViolations(records => records.calls.push(createCall({wrong: 'it belongs to c-2'})))).toEqual(['a complete answer is whole and its own']);
 });
 
-test('a second run, and a run of what was told not to have run, are found', () => {
+test('a second run, and a run of a request reported as not run, are violations', () => {
 	const run = {
 		id: 'c-1', server: 'i-1', service: 'app', node: 'edge-0', at: 10_010,
 	};
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.calls.push(createCall({status: 503}));
 		records.runs.push(run, {...run, server: 'i-2'});
 	})).toEqual(['at most once', 'told not to have run, it has not']);
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.calls.push(createCall({kind: 'again'}));
 		records.runs.push(run, {...run, server: 'i-2'});
 	})).toEqual([]);
 });
 
-test('a request held past its bound is found, unless its own node was disturbed', () => {
+test('a request that exceeds its bound is a violation, unless a fault affected its node', () => {
 	const held = createCall({endedAt: 12_500});
-	expect(listBroken(records => records.calls.push(held))).toEqual(['every request ends within its bound']);
-	expect(listBroken(records => {
+	expect(listViolations(records => records.calls.push(held))).toEqual(['every request ends within its bound']);
+	expect(listViolations(records => {
 		records.calls.push(held);
 		records.faults.push({
 			kind: 'node_pause', from: 10_500, to: 11_000, node: 'edge-0',
 		});
 	})).toEqual([]);
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.calls.push(held);
 		records.faults.push({
 			kind: 'node_pause', from: 10_500, to: 11_000, node: 'edge-1',
@@ -80,7 +80,7 @@
 	})).toEqual(['every request ends within its bound']);
 });
 
-test('new work for a leaving server is found, unless its node could not know', () => {
+test('a new request to a draining server is a violation, unless its node could not receive the change', () => {
 	const fill = (records: RunRecords) => {
 		records.changes.push({at: 10_000, sentAt: 10_000, leaving: 'i-1'});
 		records.runs.push({
@@ -88,14 +88,14 @@
 		});
 	};
 
-	expect(listBroken(fill)).toEqual(['a leaving server gets nothing new']);
-	expect(listBroken(records => {
+	expect(listViolations(fill)).toEqual(['a leaving server gets nothing new']);
+	expect(listViolations(records => {
 		fill(records);
 		records.faults.push({kind: 'store_silent', from: 9000, to: 11_000});
 	})).toEqual([]);
 });
 
-test('more requests than a server takes are found, but for those of nodes that have not seen its limit', () => {
+test('exceeding the rate limit of a server is a violation, except by nodes that have not received it', () => {
 	const fill = (records: RunRecords, node: string, count: number) => {
 		records.limitedArrivals.push(...Array.from({length: count}, (_, index) => ({
 			server: 'i-1', node, at: 10_000 + (index * 300), limit: 1, namedAt: 6000,
@@ -105,18 +105,18 @@
 	const seen = {
 		server: 'i-1', node: 'edge-0', at: 6000, limit: 1, namedAt: 6000,
 	};
-	const isExcused = (kind: string, node: string) => listBroken(records => {
+	const isExcused = (kind: string, node: string) => listViolations(records => {
 		records.limitedArrivals.push(seen);
 		fill(records, 'edge-0', 12);
 		records.faults.push({
 			kind, from: 10_500, to: 11_000, node,
 		});
 	}).length === 0;
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.limitedArrivals.push(seen);
 		fill(records, 'edge-0', 12);
 	})).toEqual(['a named limit is kept']);
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.limitedArrivals.push(seen);
 		fill(records, 'edge-0', 11);
 		fill(records, 'edge-1', 1);
@@ -124,7 +124,7 @@
 	expect([isExcused('node_pause', 'edge-0'), isExcused('node_pause', 'edge-1')]).toEqual([true, false]);
 });
 
-test('a request that reaches servers after it has crashed three is found', () => {
+test('a request that reaches servers after crashing three is a violation', () => {
 	const fill = (records: RunRecords, late: number) => {
 		const record = {request: 'crash-1', server: 'i-1', node: 'edge-0'};
 		for (let crash = 0; crash < 3; crash++) {
@@ -134,15 +134,15 @@
 		records.crashes.push(...Array.from({length: late}, (_, index) => ({...record, at: 4500 + index, hasCrashed: false})));
 	};
 
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		fill(records, 3);
 	})).toEqual([]);
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		fill(records, 4);
 	})).toEqual(['a crashing request is rejected']);
 });
 
-test('a change that is not in force in time is found, and a node that goes back', () => {
+test('a late change and a rollback of a node are violations', () => {
 	const versions = (records: RunRecords) => {
 		records.changes.push(
 			{at: 1000, sentAt: 990, version: {number: 1, service: 'turn-1'}},
@@ -153,24 +153,24 @@
 	const answer = (id: string, service: string, sentAt: number) => createCall({
 		id, kind: 'version', service, sentAt, endedAt: sentAt + 50,
 	});
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		versions(records);
 		records.calls.push(answer('a', 'turn-1', 11_000), answer('b', 'turn-2', 12_900));
 	})).toEqual([]);
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		versions(records);
 		records.calls.push(answer('a', 'turn-1', 12_900));
 	})).toEqual(['a change is in force in time']);
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		versions(records);
 		records.calls.push(answer('a', 'turn-2', 10_100), answer('b', 'turn-1', 10_900));
 	})).toEqual(['a node never goes back to an older configuration']);
 });
 
-// Two late answers of one service, each excused by a fault, were counted as a way back: the first one was taken for an
-// answer by a version after all others. Seed 11 with severed connections gave 82 of them.
-test('late answers that a fault excuses are no way back, one by an earlier version is', () => {
-	const judge = (services: [string, string]) => listBroken(records => {
+// Guards against false rollbacks: the first of two late responses of one service, both excused by a fault, was
+// attributed to a version after all others.
+test('late responses excused by a fault are no rollback, a response from an earlier version is', () => {
+	const judge = (services: [string, string]) => listViolations(records => {
 		for (const [index, at] of [1000, 5000, 9000, 10_000].entries()) {
 			records.changes.push({at, sentAt: at - 10, version: {number: index, service: `turn-${index % 3}`}});
 		}
@@ -188,16 +188,16 @@
 	expect(judge(['turn-0', 'turn-1'])).toEqual(['a node never goes back to an older configuration']);
 });
 
-test('what a planned stop cuts off is found, unless it took up the whole grace', () => {
+test('a request aborted by a graceful shutdown is a violation, unless it took the whole grace period', () => {
 	const cut = createCall({isComplete: false, status: 0});
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.calls.push(cut);
 		records.stops.push({node: 'edge-0', at: 10_050, endedAt: 12_000});
 	})).toEqual([]);
 	const run = {
 		id: 'c-1', server: 'i-1', service: 'app', node: 'edge-0', at: 10_010,
 	};
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.calls.push(cut);
 		records.runs.push(run);
 		records.stops.push({node: 'edge-0', at: 10_050, endedAt: 12_000});
@@ -207,7 +207,7 @@
 			kind: 'node_kill', from: 9900, to: 10_500, node: 'edge-1',
 		});
 	})).toEqual(['a planned stop cuts nothing off']);
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.calls.push(cut);
 		records.runs.push(run);
 		records.stops.push({node: 'edge-0', at: 10_050, endedAt: 12_000});
@@ -215,15 +215,15 @@
 			kind: 'server_kill', from: 9900, to: 10_500, server: 'i-1',
 		});
 	})).toEqual([]);
-	expect(listBroken(records => {
+	expect(listViolations(records => {
 		records.calls.push({...cut, endedAt: 13_900});
 		records.runs.push(run);
 		records.stops.push({node: 'edge-0', at: 10_050, endedAt: 14_000});
 	})).toEqual(['every request ends within its bound']);
 });
 
-test('memory that is still set aside at the end is found', () => {
-	expect(listBroken(records => records.leftMemory.push({server: 'i-1', reservation: 'r-1'}))).toEqual(['memory set aside is freed']);
+test('a memory reservation left at the end is a violation', () => {
+	expect(listViolations(records => records.leftMemory.push({server: 'i-1', reservation: 'r-1'}))).toEqual(['memory set aside is freed']);
 });
 
 test('a seed always draws the same faults, and many seeds draw every kind', () => {
@@ -232,7 +232,7 @@
 	expect([...drawn].sort()).toEqual([...faultKinds].sort());
 });
 
-test('a stream has all its events and belongs to its request', () => {
+test('a stream contains all events and is unique to its request', () => {
 	const stream = formatStream('c-1 digest');
 	expect(stream.split('\n\n')).toHaveLength(countEvents('c-1 digest') + 1);
 	expect(stream).not.toBe(formatStream('c-2 digest'));
@@ -253,7 +253,7 @@
 	};
 }
 
-/** What a connection through a link has read so far, and whether it was reset. */
+/** Collects what a connection through a link has received, and whether it was reset. */
 function listenTo(socket: Socket): {text: string; isReset: boolean} {
 	const seen = {text: '', isReset: false};
 	socket.on('data', data => {
@@ -265,7 +265,7 @@
 	return seen;
 }
 
-test('a link holds bytes back while it is silent, and loses none', async () => {
+test('a stalled link holds bytes back and loses none', async () => {
 	const echo = await openEcho();
 	const link = await new Link(() => echo.port).open();
 	const socket = connect(link.port, '127.0.0.1');
@@ -284,7 +284,7 @@
 	echo.close();
 });
 
-test('connections of a link that is severed are silent for good, and new ones work', async () => {
+test('connections of a severed link stall permanently, and new ones work', async () => {
 	const echo = await openEcho();
 	const link = await new Link(() => echo.port).open();
 	const [first, second] = [connect(link.port, '127.0.0.1'), connect(link.port, '127.0.0.1')];
@@ -309,7 +309,7 @@
 	echo.close();
 });
 
-test('the stand-in store lives on when a request is broken off', async () => {
+test('the stand-in store survives an aborted request', async () => {
 	const store = await new StandinStore().start();
 	const [host, port] = store.address.split(':');
 	const socket = connect(Number(port), host);
@@ -323,7 +323,7 @@
 });
 
 let folder: string;
-/** Told of what is started: its connection closes when it has ended, while its id may stay with a parent that is gone. */
+/** Started processes connect here; a closed connection shows that one has ended, while its pid may remain as a zombie. */
 let watching: Server;
 let living = 0;
 let seen = 0;
@@ -350,7 +350,7 @@
 	rmSync(folder, {recursive: true});
 });
 
-/** Runs a program that starts a process and then does something; the id of what it started. */
+/** Runs a program that starts a process and then executes `act`; returns the pid of the started process. */
 async function runStarter(name: string, act: string): Promise<number> {
 	const [source, bundle] = [path.join(folder, `${name}.ts`), path.join(folder, `${name}.cjs`)];
 	writeFileSync(source, `
@@ -382,9 +382,9 @@
 	return false;
 }
 
-// A soak whose stand-in store had ended left its gateways and servers behind: what was under way started more of them
-// after all had been ended, and an error that nobody waited for ended the soak before it could end what it had started.
-test('what a soak has started ends with it, whether it fails or is told to end', async () => {
+// Guards against orphaned processes: after the stand-in store had ended, pending work started processes after the
+// cleanup, and an unhandled rejection ended the soak before it could kill its child processes.
+test('child processes end with the soak, on a failure and on a signal', async () => {
 	const acts = ['throw new Error("planned");', 'void Promise.reject(new Error("planned"));', 'process.kill(process.pid, "SIGTERM");', 'process.kill(process.pid, "SIGINT");'];
 	for (const [index, act] of acts.entries()) {
 		const pid = await runStarter(`starter-${index}`, act);
@@ -393,7 +393,7 @@
 	}
 });
 
-test('nothing is started once all has been ended', async () => {
+test('no process is started after the stop', async () => {
 	const processes = new Processes(folder);
 	processes.start('before', path.join(folder, 'idle.cjs'), []);
 	await processes.stop();
@@ -401,14 +401,13 @@
 	expect(processes.count).toBe(0);
 });
 
-// A run ended before it began: "edge-3 was not ready in time". Its line said `start_failed`, `EADDRINUSE`, port 28603, and the settings
-// of edge-5 name the same port: both had drawn it while neither listened.
-test('no two nodes of a run are given one port, though none listens yet', async () => {
+// Guards against nodes that fail to start with EADDRINUSE: two nodes had drawn the same port while neither listened.
+test('nodes get distinct ports before they listen', async () => {
 	const drawn = await Promise.all(Array.from({length: 100}, async () => findSteadyPorts(6)));
 	expect(new Set(drawn.flat()).size).toBe(600);
 });
 
-/** A version that the store took at 10 s, and the one that drops its route at 40 s. */
+/** Adds a version that the store accepted at 10 s, and one at 40 s that removes its route. */
 function addVersions(records: RunRecords): void {
 	records.changes.push(
 		{at: 10_000, sentAt: 9990, version: {number: 3, service: 'turn-0'}},
@@ -416,8 +415,8 @@
 	);
 }
 
-test('a new route that is refused late, and one that is served after it was dropped, are found', () => {
-	const judge = (call: Partial<CallRecord>) => listBroken(records => {
+test('a late new route, and a route served after its removal, are violations', () => {
+	const judge = (call: Partial<CallRecord>) => listViolations(records => {
 		addVersions(records);
 		records.calls.push(createCall({kind: 'added', addedBy: 3, ...call}));
 	});
@@ -430,8 +429,8 @@
 	expect(judge({status: 200, sentAt: 42_200, endedAt: 42_210})).toEqual([]);
 });
 
-test('a store that is silent to most nodes excuses nothing while one that it serves is well', () => {
-	const judge = (fill: (records: RunRecords) => void) => listBroken(records => {
+test('a partial store outage excuses nothing while a served node is healthy', () => {
+	const judge = (fill: (records: RunRecords) => void) => listViolations(records => {
 		addVersions(records);
 		records.calls.push(createCall({
 			kind: 'added', addedBy: 3, status: 404, sentAt: 12_500, endedAt: 12_510,
@@ -455,8 +454,8 @@
 	})).toEqual(['a new route or key is served in time']);
 });
 
-test('a slow store makes a change late by its answers, and excuses no more', () => {
-	const judge = (sentAt: number) => listBroken(records => {
+test('a slow store delays a change by its response time only', () => {
+	const judge = (sentAt: number) => listViolations(records => {
 		addVersions(records);
 		records.calls.push(createCall({
 			kind: 'added', addedBy: 3, status: 404, sentAt, endedAt: sentAt + 10,
