--- a/src/backends/canceller.ts
+++ b/src/backends/canceller.ts
@@ -10,7 +10,7 @@
 
 const initialDelay = 100;
 const maxDelay = 2000;
-const maxAttempts = 8;
+const attemptLimit = 8;
 
 /** Cancels requests on engines. */
 export class Canceller {
@@ -27,7 +27,7 @@
 	/** Resolves with true once the engine has confirmed, or with false when all attempts have failed. */
 	async cancel(url: string, requestId: RequestId): Promise<boolean> {
 		let delay = initialDelay;
-		for (let attempt = 1; attempt <= maxAttempts; attempt++) {
+		for (let attempt = 1; attempt <= attemptLimit; attempt++) {
 			const result = await this.#engines.cancel(url, requestId);
 			// An engine that does not know the request is not running it.
 			if (result.caseOf({Left: failure => failure.kind === 'unknown_request', Right: () => true})) {
--- a/src/node/entry/completion-run.ts
+++ b/src/node/entry/completion-run.ts
@@ -39,7 +39,7 @@
 const initialResumeDelay = 50;
 
 /** Maximum number of engines tried for one request. */
-const maxAttempts = 4;
+const attemptLimit = 4;
 
 /** Result of one attempt on one engine. */
 type AttemptResult =
@@ -111,7 +111,7 @@
 			return this.#cancellation.findFailure(true);
 		}
 
-		if (result.kind === 'failed' || attempt >= maxAttempts) {
+		if (result.kind === 'failed' || attempt >= attemptLimit) {
 			return result.failure;
 		}
 
--- a/src/node/entry/plain-run.ts
+++ b/src/node/entry/plain-run.ts
@@ -21,7 +21,7 @@
 };
 
 /** Maximum number of backend servers tried for one call. */
-const maxAttempts = 3;
+const attemptLimit = 3;
 
 type CallResult =
 	| {kind: 'finished'}
@@ -79,7 +79,7 @@
 			}
 
 			const mayRepeat = result.kind === 'unsent' || (this.#request.isRepeatable && !this.#sink.hasStarted);
-			if (!mayRepeat || attempt >= maxAttempts || !this.#parts.retryBudget.takeRetry()) {
+			if (!mayRepeat || attempt >= attemptLimit || !this.#parts.retryBudget.takeRetry()) {
 				return mayHaveRun && result.kind === 'unsent' ? {...result.failure, ran: 'maybe'} : result.failure;
 			}
 
